--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Invalid input at startup: the program serves with a configuration, or refuses it at once with the place, the cause and a
-//! remedy. It never panics and never hangs. `check-config` and `serve` report the same.
+//! Invalid input at startup. The program either serves with a configuration or refuses it at once, naming the place,
+//! the cause and a remedy; it never panics and never hangs. `check-config` and `serve` agree.
 
 mod helper;
 
@@ -14,10 +14,11 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Time limit of every answer and exit.
+/// Time limit of each answer and each exit.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The helper's addresses repeat after 254 numbers, and these tests use more: each gets its own port.
+/// Returns an address with a port of its own. The IP addresses of `free_address` repeat after 254 calls, and these
+/// tests make more.
 fn own_address() -> SocketAddr {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(10_000);
     SocketAddr::new(
@@ -26,7 +27,7 @@
     )
 }
 
-/// A valid configuration that names every key that is read.
+/// Returns a valid configuration that has every key that the gateway reads.
 fn full_config(engine: SocketAddr, log: SocketAddr) -> Value {
     let mut config = config(engine, log);
     config["listen"] = json!(own_address().to_string());
@@ -57,11 +58,12 @@
     config
 }
 
+/// Returns the JSON pointer of a path whose keys are separated by dots.
 fn pointer(path: &str) -> String {
     format!("/{}", path.replace('.', "/"))
 }
 
-/// Sets a value at a path, also where the key does not exist yet.
+/// Sets the value at a path; the last key need not exist yet.
 fn set_value(config: &mut Value, path: &str, value: Value) {
     let (parent, key) = path.rsplit_once('.').unwrap_or(("", path));
     let parent = if parent.is_empty() {
@@ -75,6 +77,7 @@
     }
 }
 
+/// Removes the key at a path.
 fn remove(config: &mut Value, path: &str) {
     let (parent, key) = path.rsplit_once('.').unwrap_or(("", path));
     let parent = if parent.is_empty() {
@@ -85,7 +88,7 @@
     parent.as_object_mut().unwrap().remove(key).unwrap();
 }
 
-/// Collects the paths of a value and of all values in it, its own first.
+/// Collects the paths of a value and of all values in it, beginning with its own.
 fn collect_paths(value: &Value, at: &str, into: &mut Vec<String>) {
     let under = |key: &str| {
         if at.is_empty() {
@@ -111,6 +114,7 @@
     }
 }
 
+/// Returns the exit status of a process; kills it and panics after [`RESPONSE_TIMEOUT`].
 fn wait_for_exit(child: &mut Child, case: &str) -> ExitStatus {
     let started_at = Instant::now();
     while started_at.elapsed() < RESPONSE_TIMEOUT {
@@ -121,12 +125,12 @@
     }
     child.kill().unwrap();
     child.wait().unwrap();
-    panic!("{case}: no answer in {RESPONSE_TIMEOUT:?}");
+    panic!("{case}: the process did not exit within {RESPONSE_TIMEOUT:?}");
 }
 
-/// Runs a command on a file until it exits; returns whether it succeeded and its standard error.
+/// Runs a command on a configuration file until it exits. Returns whether it succeeded, and its standard error.
 fn run(command: &str, file: &Path, case: &str) -> (bool, String) {
-    let stderr_path = file.with_extension("said");
+    let stderr_path = file.with_extension("stderr");
     let mut child = gateway_command(&[command, "--config", file.to_str().unwrap()])
         .stdout(Stdio::null())
         .stderr(File::create(&stderr_path).unwrap())
@@ -143,33 +147,35 @@
     (status.success(), stderr_text)
 }
 
-/// Asserts that both commands refuse it in one line with the place, the cause and a remedy.
+/// Asserts that `check-config` and `serve` refuse a configuration with one line that names the place, the cause and a
+/// remedy.
 fn assert_refused(config: &Value, place: &str, cause: &str, case: &str) {
     let file = write_config(config);
     for command in ["check-config", "serve"] {
         let (accepted, stderr_text) = run(command, &file, case);
-        assert!(!accepted, "{case}: {command} accepts it");
+        assert!(!accepted, "{case}: {command} accepts the configuration");
         assert_error_line(&stderr_text, place, cause, &format!("{case}: {command}"));
     }
 }
 
+/// Asserts that standard error is one line with this place, this cause and a remedy.
 fn assert_error_line(stderr_text: &str, place: &str, cause: &str, case: &str) {
     let lines: Vec<&str> = stderr_text.lines().collect();
     assert_eq!(lines.len(), 1, "{case}: {stderr_text}");
     let rest = lines[0].strip_prefix(&format!("garnetwall: configuration {place}: "));
     let rest =
-        rest.unwrap_or_else(|| panic!("{case}: names another place than {place}: {stderr_text}"));
+        rest.unwrap_or_else(|| panic!("{case}: the error does not name {place}: {stderr_text}"));
     let (message, remedy) = rest
         .rsplit_once("; ")
-        .unwrap_or_else(|| panic!("{case}: no remedy: {stderr_text}"));
+        .unwrap_or_else(|| panic!("{case}: the error names no remedy: {stderr_text}"));
     assert!(
         message.contains(cause),
-        "{case}: not '{cause}': {stderr_text}"
+        "{case}: the error does not name the cause '{cause}': {stderr_text}"
     );
     assert!(remedy.len() > 3, "{case}: {stderr_text}");
 }
 
-/// A started gateway with the file of its standard error.
+/// A running gateway and the file with its standard error. The gateway is killed when this is dropped.
 struct StartedGateway {
     child: Child,
     stderr_path: std::path::PathBuf,
@@ -179,7 +185,7 @@
 impl StartedGateway {
     fn with_config(config: &Value) -> StartedGateway {
         let file = write_config(config);
-        let stderr_path = file.with_extension("said");
+        let stderr_path = file.with_extension("stderr");
         let child = serve_from(&file, File::create(&stderr_path).unwrap().into());
         StartedGateway {
             child,
@@ -188,7 +194,7 @@
         }
     }
 
-    /// Waits until `/healthz` answers with a status.
+    /// Waits until `/healthz` answers with this status; panics where the gateway exits or the time limit passes.
     fn wait_until_health_is(&mut self, status: u16, case: &str) {
         let started_at = Instant::now();
         while started_at.elapsed() < RESPONSE_TIMEOUT {
@@ -209,7 +215,7 @@
         );
     }
 
-    /// Sends a query and returns the status of its answer.
+    /// Sends a query and returns the status of the answer; panics where the gateway has exited.
     fn query(&mut self, headers: &str, case: &str) -> u16 {
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
@@ -227,7 +233,7 @@
         std::fs::read_to_string(&self.stderr_path).unwrap()
     }
 
-    /// Stops it with SIGTERM; asserts that it exits successfully and has not panicked.
+    /// Stops the gateway with SIGTERM. Asserts that it exits successfully and has not panicked.
     fn stop(mut self, case: &str) {
         let kill = format!("kill -TERM {}", self.child.id());
         assert!(Command::new("sh")
@@ -252,6 +258,7 @@
     }
 }
 
+/// A fake engine and a fake change log, which the tested configurations name.
 struct Fixture {
     engine: FakeEngine,
     log: FakeChangeLog,
@@ -269,6 +276,7 @@
         full_config(self.engine.address, self.log.address)
     }
 
+    /// Returns the base configuration with another value at a path.
     fn with(&self, path: &str, value: Value) -> Value {
         let mut config = self.config();
         set_value(&mut config, path, value);
@@ -279,6 +287,7 @@
         endpoint(id, self.engine.address, "SERVING")
     }
 
+    /// Returns the base configuration with these endpoint list entries.
     fn with_engines(&self, lines: &[Value]) -> Value {
         self.with("known.results", json!([full_list_event(0, lines)]))
     }
@@ -445,7 +454,7 @@
     ];
     for (path, value, cause) in refused {
         let case = format!("{path}={value}");
-        // The index of a faulty list item is part of its place.
+        // The place of a faulty list item includes its index.
         let place = match *path {
             "settings.domain.parallelism" | "settings.domain.kind-cores" | "settings.kinds" => {
                 format!("{path}.0")
@@ -459,7 +468,7 @@
 }
 
 #[test]
-fn unsatisfiable_subset_is_refused() {
+fn invalid_subset_is_refused_with_place_and_cause() {
     let fixture = Fixture::new();
     assert_refused(
         &fixture.with("subset", json!([])),
@@ -574,19 +583,19 @@
     let deep = "[".repeat(10_000);
     let files: &[(&str, &[u8], &str)] = &[
         ("empty", b"", "not JSON"),
-        ("cut off", b"{\"name\": \"n0\", ", "not JSON"),
+        ("truncated", b"{\"name\": \"n0\", ", "not JSON"),
         (
-            "not a number",
+            "NaN",
             b"{\"settings\": {\"categories\": [{\"give-up\": NaN}]}}",
             "not JSON",
         ),
         (
-            "past all numbers",
+            "number out of range",
             b"{\"settings\": {\"balancers\": 1e999}}",
             "not JSON",
         ),
         ("no UTF-8", b"{\"name\": \"\xff\xfe\"}", "not JSON"),
-        ("deep", deep.as_bytes(), "not JSON"),
+        ("deeply nested", deep.as_bytes(), "not JSON"),
         (
             "a list",
             b"[]",
@@ -642,28 +651,28 @@
         .map(|i| format!("10.3.{}.{}:7946", i / 250, i % 250 + 1))
         .collect();
     let cold = json!({"id": "s-1", "addr": fixture.engine.address.to_string(), "state": "SERVING"});
-    // Whether a query succeeds; otherwise it has another answer.
+    // The third field says whether a query succeeds; otherwise it is rejected or fails.
     let served: &[(&str, Value, bool)] = &[
-        ("hours", fixture.with("settings.categories.0.give-up", json!(86_400_000)), true),
-        ("goal of 0", fixture.with("settings.categories.0.goal-time", json!(0)), true),
-        ("no worth", fixture.with("settings.categories.0.worth", json!(0)), false),
-        ("no late share", fixture.with("settings.categories.0.late-share", json!(0)), true),
-        ("portion of 0", fixture.with("settings.tenants.0.portion", json!(0)), true),
-        ("quota of 0", fixture.with("settings.tenants.0.quota-per-s", json!(0)), true),
-        ("no tenants named", fixture.with("settings.tenants", json!(null)), true),
+        ("a deadline of 24 hours", fixture.with("settings.categories.0.give-up", json!(86_400_000)), true),
+        ("latency objective of 0", fixture.with("settings.categories.0.goal-time", json!(0)), true),
+        ("priority weight of 0", fixture.with("settings.categories.0.worth", json!(0)), false),
+        ("late value share of 0", fixture.with("settings.categories.0.late-share", json!(0)), true),
+        ("tenant share of 0", fixture.with("settings.tenants.0.portion", json!(0)), true),
+        ("tenant quota of 0", fixture.with("settings.tenants.0.quota-per-s", json!(0)), true),
+        ("tenants of null", fixture.with("settings.tenants", json!(null)), true),
         ("empty tenants", fixture.with("settings.tenants", json!([])), true),
-        ("unknown way of reports", fixture.with("settings.telemetry.how", json!("by post")), true),
-        ("unknown way of lists", fixture.with("settings.registry-mode", json!("shouted")), true),
+        ("unknown mode of load reports", fixture.with("settings.telemetry.how", json!("by post")), true),
+        ("unknown mode of endpoint lists", fixture.with("settings.registry-mode", json!("shouted")), true),
         (
-            "unknown scope, taken for the narrowest",
+            "unknown key scope, taken for the narrowest",
             fixture.with("settings.categories.2.key-scope", json!("house")),
             true,
         ),
-        ("cores of 0 are not known", fixture.with("settings.domain.kind-cores", json!([0])), true),
-        ("no room for a kind's memory", fixture.with("settings.domain.kind-memory-mb", json!([])), true),
-        ("threads without a number", fixture.with("settings.domain.parallelism", json!([])), true),
-        ("a budget of no time", fixture.with("settings.rules.extra-window", json!(0)), true),
-        ("no rules", fixture.with("settings.rules", json!(null)), true),
+        ("0 cores, taken for unknown", fixture.with("settings.domain.kind-cores", json!([0])), true),
+        ("no memory given for a kind", fixture.with("settings.domain.kind-memory-mb", json!([])), true),
+        ("no number of threads", fixture.with("settings.domain.parallelism", json!([])), true),
+        ("retry budget over a window of 0", fixture.with("settings.rules.extra-window", json!(0)), true),
+        ("rules of null", fixture.with("settings.rules", json!(null)), true),
         ("unknown key", fixture.with("weather", json!({"x": [[null, {}], 1e308]})), true),
         (
             "unknown keys in settings",
@@ -671,13 +680,13 @@
             true,
         ),
         ("unknown key in a group", fixture.with("settings.categories.0.more", json!([[1], [{}]])), true),
-        ("odd unread keys", fixture.with("settings.prices", json!([null, {"a": 1}, 3])), true),
-        ("no limits", fixture.with("limits", json!(null)), true),
+        ("unread key with an odd value", fixture.with("settings.prices", json!([null, {"a": 1}, 3])), true),
+        ("limits of null", fixture.with("limits", json!(null)), true),
         ("subset of null", fixture.with("subset", json!(null)), true),
         ("subset of one", fixture.with("subset", json!({"size": 1})), true),
-        ("subset over the list", fixture.with("subset", json!({"size": 1 << 20})), true),
+        ("subset larger than the list", fixture.with("subset", json!({"size": 1 << 20})), true),
         (
-            "subset with all that is read, and more",
+            "subset with every key, and an unknown one",
             fixture.with(
                 "subset",
                 json!({"size": 80, "class_floor": 0, "reserve": 0, "joins_per_second": 1e-3, "zone": "east",
@@ -691,17 +700,17 @@
         ("peers of null", fixture.with("peers", json!(null)), true),
         ("1024 peers", fixture.with("peers", json!(peers)), true),
         ("no engines", fixture.with_engines(&[]), false),
-        ("an engine twice", fixture.with_engines(&[fixture.endpoint("s-1"), fixture.endpoint("s-1")]), true),
-        ("an address of two engines", fixture.with_engines(&[fixture.endpoint("s-1"), fixture.endpoint("s-2")]), true),
+        ("an engine listed twice", fixture.with_engines(&[fixture.endpoint("s-1"), fixture.endpoint("s-1")]), true),
+        ("two engines at one address", fixture.with_engines(&[fixture.endpoint("s-1"), fixture.endpoint("s-2")]), true),
         (
-            "an engine that has gone",
+            "a deleted engine",
             fixture.with_engines(&[endpoint("s-1", fixture.engine.address, "DELETED")]),
             false,
         ),
         ("an engine with few fields", fixture.with_engines(&[cold]), true),
-        ("1024 engines that nobody runs", fixture.with_engines(&many(1024)), false),
+        ("1024 engines at which nothing listens", fixture.with_engines(&many(1024)), false),
     ];
-    // Stopping takes each 0.7 s.
+    // Each stop takes 0.7 s, so four threads share the cases.
     std::thread::scope(|scope| {
         for part in served.chunks(served.len().div_ceil(4)) {
             scope.spawn(|| {
@@ -712,13 +721,14 @@
     });
 }
 
+/// Asserts that a configuration is valid, that a gateway serves with it, and whether its queries succeed.
 fn assert_served(case: &str, config: &Value, succeeds: bool) {
     assert!(run("check-config", &write_config(config), case).0, "{case}");
     let mut config = config.clone();
     config["listen"] = json!(own_address().to_string());
     let mut gateway = StartedGateway::with_config(&config);
     gateway.wait_until_health_is(200, case);
-    // The client allows the largest time of its query class.
+    // The client allows the longest time that its query class permits.
     let allowed = config["settings"]["categories"][0]["give-up"]
         .as_f64()
         .unwrap();
@@ -734,7 +744,7 @@
     };
     let started_at = Instant::now();
     let mut status = send_query();
-    // On a busy machine a connection may be established too late; a rejected client retries.
+    // On a busy machine a connection may be established too late. The query is then rejected, and the client retries.
     while succeeds && status == 503 && started_at.elapsed() < RESPONSE_TIMEOUT {
         status = send_query();
     }
@@ -743,11 +753,15 @@
     } else {
         status == 503 || status == 500
     };
-    assert!(accepted, "{case}: {status}: {}", gateway.stderr_text());
+    assert!(
+        accepted,
+        "{case}: the query got status {status}: {}",
+        gateway.stderr_text()
+    );
     gateway.stop(case);
 }
 
-/// Without a list it starts, accepts requests, and reports that it does not serve yet.
+/// A gateway without an endpoint list starts, accepts requests, and reports that it does not serve yet.
 #[test]
 fn gateway_without_an_endpoint_list_waits_for_one() {
     let fixture = Fixture::new();
@@ -769,15 +783,19 @@
     }
 }
 
-/// Sets unexpected values at every path of the base configuration. A refusal names a place and a remedy; otherwise the gateway
-/// is started, answers `/healthz`, and accepts a query.
+/// Sets unexpected values at every path of the base configuration. Either the refusal names a place and a remedy, or
+/// the gateway starts, answers `/healthz` and accepts a query.
 #[test]
 fn unexpected_value_at_every_path_is_served_or_refused() {
     let fixture = Fixture::new();
     let base = fixture.config();
     let mut all = Vec::new();
     collect_paths(&base, "", &mut all);
-    assert!(all.len() > 100, "{}", all.len());
+    assert!(
+        all.len() > 100,
+        "only {} paths in the base configuration",
+        all.len()
+    );
     let wrong = [
         json!(null),
         json!("odd"),
@@ -801,7 +819,7 @@
                 let root = place.split('.').next().unwrap();
                 assert!(
                     base.get(root).is_some(),
-                    "{case}: no such place: {stderr_text}"
+                    "{case}: the error names an unknown place: {stderr_text}"
                 );
                 assert!(
                     rest.contains("; ") && stderr_text.lines().count() == 1,
@@ -828,6 +846,6 @@
     println!("{refused} refused, {served} served");
     assert!(
         refused > 200 && served > 50,
-        "{refused} refused, {served} served"
+        "expected more than 200 refused and 50 served: {refused} refused, {served} served"
     );
 }
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -1,5 +1,6 @@
-//! Long bodies over sockets: they are streamed to the engine, stored as they pass, and sent again complete where the first
-//! attempt fails; a body that is not stored is not sent again. A stand-in engine counts the bytes and computes a checksum.
+//! Long bodies over sockets. The gateway streams a body to the engine, stores it meanwhile, and sends it again complete
+//! where the first attempt fails; a body that is not stored is not sent again. A fake engine counts the bytes of each
+//! body and computes its checksum.
 
 mod helper;
 
@@ -17,7 +18,7 @@
 const KIB: usize = 1 << 10;
 const MIB: usize = 1 << 20;
 
-/// The body of one start as the engine received it.
+/// The body of one start as the engine received it; `sum` is its CRC-32.
 #[derive(Clone, Debug, PartialEq)]
 struct ReceivedBody {
     bytes: usize,
@@ -25,11 +26,14 @@
     is_complete: bool,
 }
 
-/// An engine that reads bodies of any length. A directive at the beginning of a body says how its first attempt fails.
+/// A fake engine that reads bodies of any length. A directive at the beginning of a body makes its first attempt fail:
+/// `declines` rejects it, `fails` answers 500, `breaks` closes the connection halfway, and `early` rejects it before
+/// the body is read.
 #[derive(Clone)]
 struct CountingEngine {
     address: SocketAddr,
     received: Arc<Mutex<Vec<ReceivedBody>>>,
+    /// Ids of the attempts that were started at least once.
     started_ids: Arc<Mutex<HashMap<String, bool>>>,
 }
 
@@ -67,7 +71,8 @@
         }
     }
 
-    /// Reads a body to its end, or up to the point where its directive makes it fail.
+    /// Reads the body of a start to its end, or up to the point where its directive makes it fail. Returns the
+    /// response, or `None` to end the connection.
     fn receive_start(
         &self,
         reader: &mut impl BufRead,
@@ -129,6 +134,7 @@
     }
 }
 
+/// Reads the start line and the header fields of a request.
 fn head(reader: &mut impl BufRead) -> Option<(String, HashMap<String, String>)> {
     let mut line = || {
         let mut line = String::new();
@@ -146,7 +152,8 @@
     Some((first, headers))
 }
 
-/// Reads a body of a given length, or in chunks, until it ends or `piece` returns false; returns whether it was complete.
+/// Reads a body of a given length, or in chunks, and passes its parts to `piece` until the body ends or `piece` returns
+/// false. Returns whether the body was complete.
 fn read_body(
     reader: &mut impl BufRead,
     content_length: Option<usize>,
@@ -186,7 +193,7 @@
     }
 }
 
-/// A body of `size` bytes that begins with the directive `words`.
+/// Returns a body of `size` bytes that begins with the directive `words`.
 fn body(words: &str, size: usize) -> Vec<u8> {
     let begin = format!("INSERT INTO sales_17.orders /* {words} */ ");
     let mut out = begin.into_bytes();
@@ -195,11 +202,12 @@
     out
 }
 
+/// Returns the CRC-32 of a body.
 fn checksum(bytes: &[u8]) -> u32 {
     crc32fast::hash(bytes)
 }
 
-/// A gateway with body storage.
+/// A gateway whose plan stores bodies, a counting engine, and the file with the gateway's log.
 struct BodyStorageGateway {
     test_bed: TestBed,
     engine: CountingEngine,
@@ -207,7 +215,8 @@
 }
 
 impl BodyStorageGateway {
-    /// `bodies` are the entries of the plan's block; `before` is what the shell runs before it starts the gateway.
+    /// Starts the gateway. `bodies` holds the entries of the plan's block, in which FOLDER stands for a new directory;
+    /// `before` is a shell command that runs before the gateway.
     fn start(bodies: &str, before: &str) -> BodyStorageGateway {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
             "bodies-{}-{}",
@@ -250,6 +259,7 @@
         }
     }
 
+    /// Sends a query with this body and returns the answer.
     fn send(&self, class: &str, body: &[u8]) -> Answer {
         let stream = self.test_bed.open();
         let headers = request_headers(&new_id(), 60_000);
@@ -258,15 +268,15 @@
             body.len()
         );
         let mut out = stream.try_clone().unwrap();
-        // The answer may arrive before all is sent; then the rest is not read.
+        // The answer may arrive before the whole body is sent; the gateway does not read the rest then.
         let sent = out
             .write_all(head.as_bytes())
             .and_then(|()| out.write_all(body));
         let answer = read_message(&mut BufReader::new(stream));
-        Answer::of(answer.unwrap_or_else(|| panic!("an answer; sent: {sent:?}")))
+        Answer::of(answer.unwrap_or_else(|| panic!("no answer; result of sending: {sent:?}")))
     }
 
-    /// The gateway's peak resident memory in MiB.
+    /// Returns the gateway's peak resident memory in MiB.
     fn peak_memory_mib(&self) -> usize {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.test_bed.child.id())).unwrap();
@@ -280,9 +290,10 @@
     }
 }
 
+/// Body storage in memory and in files, up to 220 MiB for each body.
 const FILES: &str = "  memory 8MiB\n  batch-memory 2MiB\n  files 1GiB\n  directory \"FOLDER\"\n  batch 220MiB\n  unknown-length";
 
-/// The first attempt of each fails: the retry gets the same bytes, from memory and from files.
+/// The first attempt of each query fails. The retry gets the same bytes, from memory or from files.
 #[test]
 fn bodies_of_every_size_are_retried_complete() {
     let gateway = BodyStorageGateway::start(FILES, "");
@@ -305,10 +316,13 @@
         }
     }
     let peak = gateway.peak_memory_mib();
-    assert!(peak < 64, "{peak} MiB at the most, of 64");
-    println!("{peak} MiB at the most");
+    assert!(
+        peak < 64,
+        "peak memory of {peak} MiB, expected less than 64"
+    );
+    println!("peak memory of {peak} MiB");
     gateway.test_bed.signal("TERM");
-    wait_until("the counts", || {
+    wait_until("the counts of stored bodies are logged", || {
         std::fs::read_to_string(&gateway.log)
             .unwrap()
             .contains("storage=File bodies=4 retry_reads=4 missing=0")
@@ -320,8 +334,8 @@
     );
 }
 
-/// The connection breaks within the body: nothing ran. A stored body is sent again; a non-idempotent body was released
-/// with its first bytes, and its query is rejected.
+/// The connection to the engine breaks within the body, so nothing has run. A stored body is sent again. The body of a
+/// non-idempotent query is no longer stored once its first bytes have been sent, and the query is rejected.
 #[test]
 fn attempt_whose_connection_breaks_within_the_body_never_ran() {
     let gateway = BodyStorageGateway::start(FILES, "");
@@ -345,20 +359,20 @@
     assert_eq!(
         (answer.status, gateway.engine.received().len()),
         (503, 3),
-        "it never ran, and its body is no longer stored: {answer:?}"
+        "a query that never ran and whose body is not stored should be rejected: {answer:?}"
     );
     let answer = gateway.send("load", &body("fails", MIB));
     assert_eq!(
         (answer.status, gateway.engine.received().len()),
         (500, 4),
-        "it may have run"
+        "a query that may have run should be answered as failed"
     );
     assert!(gateway.send("load", &body("works", MIB)).succeeded());
 }
 
-/// An engine that answers before it has read the body.
+/// The engine answers before it has read the body.
 #[test]
-fn response_before_the_body_is_read_counts() {
+fn response_sent_before_the_body_is_read_is_accepted() {
     let gateway = BodyStorageGateway::start(FILES, "");
     let long = body("early", 30 * MIB);
     let answer = gateway.send("report", &long);
@@ -370,7 +384,7 @@
     );
 }
 
-/// Without files, a body too long for memory is streamed once.
+/// Without files, a body that is too long for memory is streamed once.
 #[test]
 fn body_that_is_not_stored_is_not_retried() {
     let gateway =
@@ -389,7 +403,7 @@
     assert_eq!(
         (answer.status, gateway.engine.received().len()),
         (503, 2),
-        "rejected, as nothing ran: {answer:?}"
+        "a query that never ran should be rejected: {answer:?}"
     );
     assert_eq!(
         gateway.send("report", &body("works", 101 * MIB)).status,
@@ -397,14 +411,17 @@
     );
     assert!(
         gateway.peak_memory_mib() < 40,
-        "{} MiB",
+        "peak memory of {} MiB",
         gateway.peak_memory_mib()
     );
     let stored = gateway.send("report", &body("declines", 400 * KIB));
-    assert!(stored.succeeded(), "this one is stored: {stored:?}");
+    assert!(
+        stored.succeeded(),
+        "a body that fits in memory should be sent again: {stored:?}"
+    );
 }
 
-/// The disk is full within a body, by a limit on the size of the process's files.
+/// A limit on the size of the process's files makes the disk full within a body.
 #[test]
 fn full_disk_prevents_the_retry_and_never_loses_the_body() {
     let gateway = BodyStorageGateway::start(FILES, "trap '' XFSZ; ulimit -f 8192;");
@@ -429,7 +446,7 @@
         gateway
             .send("report", &body("declines", 3 * MIB))
             .succeeded(),
-        "a body that fits is stored"
+        "a body that fits on the disk should be sent again"
     );
 }
 
@@ -461,11 +478,11 @@
     }
     assert!(
         gateway.send("load", &body("works", MIB)).succeeded(),
-        "the next query is not affected"
+        "the next query should succeed"
     );
 }
 
-/// A client disconnects within its body: the engine's connection is closed at once, not at the deadline.
+/// A client disconnects within its body. The connection to the engine is closed at once, not at the deadline.
 #[test]
 fn client_disconnect_frees_the_engine_at_once() {
     let gateway = BodyStorageGateway::start(FILES, "");
@@ -482,11 +499,11 @@
     assert_eq!(
         gateway.engine.received()[0].bytes,
         0,
-        "the body is still being received"
+        "the engine should still be receiving the body"
     );
     drop(stream);
-    // The stand-in engine records the body once its connection ends.
-    wait_until("the end", || gateway.engine.received()[0].bytes > 0);
+    // The fake engine records the body when its connection ends.
+    wait_until("the body's end", || gateway.engine.received()[0].bytes > 0);
     assert!(!gateway.engine.received()[0].is_complete);
 }
 
@@ -513,7 +530,7 @@
                 out.write_all(b"0\r\n\r\n")
             });
             let answer = read_message(&mut BufReader::new(stream)).map(Answer::of);
-            let answer = answer.unwrap_or_else(|| panic!("an answer: {sent:?}"));
+            let answer = answer.unwrap_or_else(|| panic!("no answer; result of sending: {sent:?}"));
             match allowed {
                 true => {
                     let wanted = ReceivedBody {
@@ -530,7 +547,8 @@
     }
 }
 
-/// Many at once, at the limit of every budget: each is answered, each that succeeds was complete, and memory stays bounded.
+/// Many bodies at once reach the limit of every budget. Each query is answered, each one that succeeds had a complete
+/// body, and memory stays bounded.
 #[test]
 fn many_concurrent_bodies_stay_within_the_budgets() {
     let gateway = BodyStorageGateway::start(
@@ -570,11 +588,11 @@
     );
     assert!(
         gateway.peak_memory_mib() < 64,
-        "{} MiB",
+        "peak memory of {} MiB",
         gateway.peak_memory_mib()
     );
     println!(
-        "of {} bodies {succeeded} succeeded, {rejected} rejected, {} MiB at most",
+        "of {} bodies {succeeded} succeeded, {rejected} were rejected, peak memory of {} MiB",
         answers.len(),
         gateway.peak_memory_mib()
     );
--- a/crates/gateway/tests/closing.rs
+++ b/crates/gateway/tests/closing.rs
@@ -1,5 +1,6 @@
-//! Requests that cross the gateway's own closes: the end of accepting after SIGTERM, the close of a keep-alive connection,
-//! the eviction of an idle one. A request that the kernel accepted is answered completely, or neither read nor forwarded.
+//! Requests that cross a close by the gateway: the end of accepting after SIGTERM, the close of a keep-alive
+//! connection, and the eviction of an idle one. A request that the kernel accepted is either answered completely or
+//! neither read nor forwarded.
 
 mod helper;
 
@@ -16,6 +17,7 @@
     format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: {length}\r\n\r\n{statement}")
 }
 
+/// Reads an answer within 5 s, or returns `None` where the connection ends or the time passes.
 fn read_answer(stream: &TcpStream) -> Option<Answer> {
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
@@ -37,8 +39,8 @@
     sleep(instant.saturating_duration_since(Instant::now()));
 }
 
-/// Every slot is taken by a partly sent request, so that one connection is accepted and waits for its slot, and others are in
-/// the kernel's accept queue, when accepting ends.
+/// When accepting ends, partly sent requests hold every slot. One more connection has been accepted and waits for a
+/// slot, and others are in the kernel's accept queue.
 #[test]
 fn connections_that_wait_for_a_slot_when_accepting_ends_are_answered() {
     let test_bed = TestBed::start_with(|config| config["limits"]["sockets"] = json!(64));
@@ -55,7 +57,7 @@
             stream
         })
         .collect();
-    // Each is read, so that none is evicted.
+    // Time for the gateway to read each request, so that it evicts none of the connections.
     sleep(ms(200));
     test_bed.signal("TERM");
     let signalled_at = Instant::now();
@@ -82,10 +84,10 @@
     }
 }
 
-/// A request arrives while the gateway process is stopped, before its keep-alive connection is to be closed.
+/// A request arrives while the gateway process is stopped, before the gateway is to close the keep-alive connection.
 #[test]
 fn request_received_on_a_keep_alive_connection_before_its_close_is_answered() {
-    // A round in which a busy machine stopped the gateway too late proves nothing.
+    // A round proves nothing if a busy machine stopped the gateway too late.
     let stopped_in_time = (0..5).any(|_| {
         let mut test_bed = TestBed::start();
         let keep_alive_connections: Vec<TcpStream> =
@@ -119,7 +121,7 @@
     );
 }
 
-/// Part of a request arrives before its keep-alive connection is to be closed, the rest after.
+/// Part of a request arrives before the gateway is to close the keep-alive connection, the rest after.
 #[test]
 fn request_partly_received_before_its_connection_closes_is_answered() {
     let test_bed = TestBed::start();
@@ -135,8 +137,8 @@
     assert!(read_answer(&stream).expect("an answer").succeeded());
 }
 
-/// A request written after the gateway closed the connection is never forwarded, and the answer before it is not lost by a
-/// reset.
+/// The gateway never forwards a request that was written after it closed the connection, and no reset loses the answer
+/// before.
 #[test]
 fn request_written_after_its_connection_closed_is_not_forwarded() {
     let test_bed = TestBed::start();
@@ -146,18 +148,23 @@
     stream
         .set_read_timeout(Some(Duration::from_secs(3)))
         .unwrap();
-    assert_eq!(stream.read(&mut nothing).expect("an orderly end"), 0);
+    assert_eq!(
+        stream
+            .read(&mut nothing)
+            .expect("the connection should end without a reset"),
+        0
+    );
     let id = new_id();
     let _ = stream.write_all(request_text(&id, "SELECT 2").as_bytes());
     sleep(ms(300));
     assert_eq!(
         test_bed.engine.requests("POST"),
         1,
-        "only the first was forwarded"
+        "number of queries forwarded, the first one alone"
     );
 }
 
-/// All slots are held by idle connections. The one that has been idle longest has an unread request when a new connection
+/// Idle connections hold all slots. The one that has been idle longest has an unread request when a new connection
 /// needs a slot.
 #[test]
 fn idle_connection_with_an_unread_request_is_not_evicted() {
@@ -176,15 +183,15 @@
     test_bed.signal("CONT");
     assert!(
         read_answer(oldest).is_some_and(|a| a.succeeded()),
-        "its request was lost"
+        "the request on the oldest connection was lost"
     );
     assert!(
         read_answer(&new).is_some_and(|a| a.succeeded()),
-        "the new connection is served"
+        "the request on the new connection should succeed"
     );
 }
 
-/// Part of a request has arrived on the connection that is to be evicted.
+/// Part of a request has arrived on the connection that would be evicted.
 #[test]
 fn request_partly_received_on_a_connection_to_be_evicted_is_answered() {
     let test_bed = TestBed::start_with(|config| config["limits"]["sockets"] = json!(64));
@@ -200,16 +207,17 @@
         .unwrap();
     assert!(
         read_answer(&new).is_some_and(|a| a.succeeded()),
-        "the new connection is served"
+        "the request on the new connection should succeed"
     );
     oldest.write_all(rest.as_bytes()).unwrap();
     assert!(
         read_answer(oldest).is_some_and(|a| a.succeeded()),
-        "its request was lost"
+        "the request on the oldest connection was lost"
     );
 }
 
-/// A client that sends surplus bytes after a request that ends its connection can still read its answer.
+/// A client can still read the answer to the last request of a connection although it sends more bytes after the
+/// request.
 #[test]
 fn surplus_bytes_behind_the_last_request_do_not_reset_its_response() {
     let test_bed = TestBed::start();
@@ -228,7 +236,7 @@
     }
 }
 
-/// The platform may send SIGHUP while it shuts the gateway down.
+/// The platform may send SIGHUP while it shuts a gateway down.
 #[test]
 fn sighup_after_sigterm_delays_nothing() {
     let mut test_bed = TestBed::start();
@@ -250,7 +258,7 @@
     );
 }
 
-/// With short deadlines the earliest SIGKILL comes soon after SIGTERM; clients use their connections until then.
+/// With short deadlines the earliest SIGKILL comes soon after SIGTERM, and clients use their connections until then.
 #[test]
 fn shutdown_with_short_deadlines_ends_before_the_earliest_kill() {
     for deadline in [50, 100, 300, 1000] {
@@ -270,7 +278,7 @@
         let (took, earliest_kill) = (signalled_at.elapsed(), ms(700 + u64::from(deadline)));
         assert!(
             took + ms(60) < earliest_kill,
-            "deadline {deadline}: ended after {took:?}, a kill may come after {earliest_kill:?}"
+            "deadline {deadline} ms: exited after {took:?}, and a kill may come after {earliest_kill:?}"
         );
         for client in clients {
             let queries = client.join().unwrap();
@@ -279,7 +287,8 @@
     }
 }
 
-/// Sends queries on one connection until it is closed; a query may only go unanswered where it crossed the close.
+/// Sends queries on one connection until the gateway closes it and returns the number of answers. A query may stay
+/// unanswered only where it crossed the close.
 fn query_until_closed(address: std::net::SocketAddr, deadline: u32) -> usize {
     let stream = TcpStream::connect(address).unwrap();
     stream
@@ -297,7 +306,7 @@
         if read_message(&mut reader).is_none() {
             assert!(
                 sent.elapsed() < ms(50),
-                "a query was read and its connection closed"
+                "the connection was closed without an answer to a query that did not cross the close"
             );
             return queries;
         }
@@ -306,7 +315,8 @@
     0
 }
 
-/// A request that arrives too slowly is answered before its connection is closed, as its last byte may cross the close.
+/// A request that arrives too slowly is answered before its connection is closed, because its last byte may cross the
+/// close.
 #[test]
 fn request_head_that_arrives_too_slowly_is_answered() {
     let test_bed = TestBed::start();
@@ -317,7 +327,7 @@
     let answer = read_answer(&stream).expect("an answer");
     assert!(
         answer.status == 408 && began.elapsed() < ms(3000),
-        "{answer:?} after {:?}",
+        "expected 408 within 3 s: {answer:?} after {:?}",
         began.elapsed()
     );
 }
--- a/crates/gateway/tests/extremes.rs
+++ b/crates/gateway/tests/extremes.rs
@@ -1,5 +1,6 @@
-//! The protocol at its limits: the largest result, two body lengths in every order and case, a simultaneous cancel and close,
-//! the shortest and longest Retry-After, hundreds of closes in one loop iteration, the deadline of a retry, the largest list.
+//! The protocol at its limits: the largest result, two body lengths in one request, a simultaneous cancel and close,
+//! the shortest and longest Retry-After, hundreds of closes in one loop iteration, the deadline of a retry, and the
+//! largest endpoint list.
 
 mod helper;
 
@@ -12,11 +13,12 @@
 use std::thread::{sleep, spawn};
 use std::time::Instant;
 
-/// Set by the protocol: largest page and largest result.
+/// Set by the protocol: largest page of a result.
 const PAGE_BYTES: usize = 6_000;
+/// Set by the protocol: largest result.
 const RESULT_BYTES: usize = 48_000;
 
-/// An engine that answers each request by a script.
+/// Starts an engine that answers each request by a script; returns its address.
 fn scripted_engine(answer: impl Fn(&Message) -> String + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -37,7 +39,7 @@
     address
 }
 
-/// A gateway with one engine.
+/// Starts a test bed with this engine and no health checks.
 fn start_with_engine(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> TestBed {
     TestBed::start_with(|config| {
         config["known"]["results"] =
@@ -47,7 +49,7 @@
     })
 }
 
-/// Rows of one page of the largest size, with all characters that have to be escaped.
+/// Returns a page of the largest size; its rows hold all characters that have to be escaped.
 fn page(number: usize) -> String {
     let row = format!("p{number}\t\"\\\u{1}é漢\u{7f}\t\n");
     let mut text = row.repeat(PAGE_BYTES / row.len() - 1);
@@ -59,7 +61,7 @@
     text
 }
 
-/// An engine whose every result has the largest number of pages, each of the largest size.
+/// Starts an engine whose every result has the largest number of pages, each of the largest size.
 fn engine_of_large_results() -> SocketAddr {
     scripted_engine(|call| {
         let number = match call.start_line.strip_prefix("GET /c/") {
@@ -95,12 +97,12 @@
     };
     assert!(
         rows.iter().map(columns).collect::<String>() == expected,
-        "{} rows",
+        "the rows differ from those of the engine, {} rows",
         rows.len()
     );
 }
 
-/// An answer that the gateway began and cannot finish is recognizable as incomplete.
+/// The gateway is killed while it sends an answer. The client can tell that the answer is incomplete.
 #[test]
 fn answer_truncated_by_a_kill_is_recognizable() {
     let mut test_bed = start_with_engine(engine_of_large_results(), |_| {});
@@ -120,20 +122,22 @@
     let mut received = Vec::new();
     let _ = (&stream).read_to_end(&mut received);
     let text = String::from_utf8_lossy(&received);
-    let (head, body) = text.split_once("\r\n\r\n").expect("a head");
+    let (head, body) = text
+        .split_once("\r\n\r\n")
+        .expect("the head of the answer should be complete");
     let content_length = head.lines().find_map(|l| {
         l.to_ascii_lowercase()
             .strip_prefix("content-length: ")
             .map(str::to_string)
     });
     let content_length: usize = content_length
-        .expect("a Content-Length field")
+        .expect("the answer should carry a Content-Length")
         .parse()
         .unwrap();
     let complete = body.len() == content_length && serde_json::from_str::<Value>(body).is_ok();
     assert!(
         complete || body.len() < content_length,
-        "{} of {content_length} bytes",
+        "the client received {} of {content_length} bytes",
         body.len()
     );
 }
@@ -173,7 +177,7 @@
                 let answer = read_message(&mut BufReader::new(&stream));
                 let refused =
                     answer.is_none_or(|answer| answer.start_line.starts_with("HTTP/1.1 4"));
-                assert!(refused, "{length_fields}");
+                assert!(refused, "the request was not refused: {length_fields}");
             }
         }
     }
@@ -182,7 +186,7 @@
 
 /// A client cancels its query and closes its connection at the same moment.
 #[test]
-fn simultaneous_cancel_and_close_give_one_end() {
+fn simultaneous_cancel_and_close_cancel_the_attempt_once() {
     for close_first in [true, false] {
         let engine = FakeEngineProcess::start();
         let test_bed = start_with_engine(engine.address, |_| {});
@@ -214,7 +218,7 @@
             );
             drop(stream);
         }
-        read_message(&mut BufReader::new(cancel)).expect("an answer to the cancel");
+        read_message(&mut BufReader::new(cancel)).expect("the cancel request should be answered");
         wait_until("cancelled", || engine.attempts()[0].stopped_at.is_some());
         assert!(
             cancelled_at.elapsed() < ms(1000),
@@ -225,7 +229,7 @@
         assert_eq!(
             (engine.attempts().len(), engine.state().cancel_requests),
             (1, 1),
-            "one attempt, cancelled once"
+            "numbers of attempts and of cancel calls"
         );
     }
 }
@@ -251,11 +255,16 @@
         wait(json!({"retry-after": true, "max-retry-after": 1.0})),
         Some(1)
     );
-    let longest = wait(json!({"retry-after": true, "max-retry-after": 1000.0})).expect("a wait");
-    assert!(longest > 0 && longest <= 1000, "{longest}");
+    let longest = wait(json!({"retry-after": true, "max-retry-after": 1000.0}))
+        .expect("the rejection should carry x-wait-ms");
+    assert!(
+        longest > 0 && longest <= 1000,
+        "Retry-After of {longest} ms"
+    );
 }
 
-/// Two hundred clients close while the gateway process is stopped, before their key's turn comes.
+/// 200 clients close their connections while the gateway process is stopped, before their queries' turn in the key
+/// queue.
 #[test]
 fn hundreds_of_closes_in_one_iteration_start_no_attempt_afterwards() {
     let engine = FakeEngineProcess::start();
@@ -286,15 +295,15 @@
     assert_eq!(
         engine.attempts().len(),
         1,
-        "started for disconnected clients"
+        "number of attempts, none for a disconnected client"
     );
 }
 
-/// The deadline forwarded with a retry is the time remaining then.
+/// A retry forwards the time that is left when it is sent.
 #[test]
 fn retry_forwards_the_remaining_time() {
     const ALLOWED_MS: u64 = 2000;
-    /// The protocol's tolerance for a forwarded deadline.
+    /// Tolerance that the protocol allows for a forwarded deadline.
     const DEADLINE_TOLERANCE_MS: u64 = 150;
     let deadlines: Arc<Mutex<Vec<(Instant, u64)>>> = Arc::default();
     let recorded = deadlines.clone();
@@ -321,13 +330,13 @@
         let remaining_ms = ALLOWED_MS.saturating_sub((*at - began).as_millis() as u64);
         assert!(
             *deadline <= remaining_ms + DEADLINE_TOLERANCE_MS,
-            "{deadline} ms forwarded with {remaining_ms} left"
+            "{deadline} ms forwarded with {remaining_ms} ms left"
         );
     }
     assert!(deadlines[1].1 + 200 <= deadlines[0].1, "{deadlines:?}");
 }
 
-/// The largest endpoint list and number of gateways.
+/// Changes of the largest endpoint list are applied, with the largest number of gateways.
 #[test]
 fn list_of_3200_engines_with_900_gateways_is_served() {
     const ENGINES: usize = 3200;
@@ -368,7 +377,7 @@
     assert_eq!(
         engine.requests("POST"),
         before,
-        "no attempt at draining engines"
+        "number of attempts after all engines began to drain"
     );
     test_bed.log.publish(list_change_event(10, &lines));
     wait_until("all serve again", || {
--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -1,5 +1,6 @@
-//! A gateway with a plan, over sockets: it routes, restricts and limits as `plan explain` says; a faulty plan at SIGHUP is
-//! logged with line and cause and the old plan stays, under load. Also the plan commands with their exit codes.
+//! A gateway with a plan, over sockets. It routes, restricts and limits queries as `plan explain` says. A faulty plan
+//! at SIGHUP is logged with its line and cause, and the old plan stays in force under load. The plan commands exit with
+//! their codes.
 
 mod helper;
 
@@ -12,7 +13,7 @@
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
 
-/// Writes a file with a unique name.
+/// Writes a new file whose name ends with `name` and returns its path.
 fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
         "{}-{}-{name}",
@@ -23,7 +24,7 @@
     path
 }
 
-/// A gateway with a plan, two engines `s-1` (the helper's) and `s-2`, and its log.
+/// A gateway with a plan and two engines: `s-1` of the test bed and `s-2`. Its log is written to a file.
 struct PlannedGateway {
     test_bed: TestBed,
     second: FakeEngine,
@@ -62,11 +63,13 @@
         }
     }
 
+    /// Replaces the plan file and sends SIGHUP.
     fn reload(&self, text: &str) {
         std::fs::write(&self.plan, text).unwrap();
         self.test_bed.signal("HUP");
     }
 
+    /// Waits until the log contains these words and returns the log.
     fn wait_until_logged(&self, words: &str) -> String {
         wait_until(words, || {
             std::fs::read_to_string(&self.log).unwrap().contains(words)
@@ -74,6 +77,7 @@
         std::fs::read_to_string(&self.log).unwrap()
     }
 
+    /// Returns the numbers of attempts at `s-1` and at `s-2`.
     fn attempts_per_engine(&self) -> (usize, usize) {
         (
             self.test_bed.engine.requests("POST"),
@@ -82,10 +86,12 @@
     }
 }
 
+/// Runs the program with these arguments until it exits.
 fn run(arguments: &[&str]) -> Output {
     gateway_command(arguments).output().unwrap()
 }
 
+/// Returns standard output followed by standard error.
 fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
@@ -129,7 +135,7 @@
     assert_eq!(
         gateway.attempts_per_engine(),
         (0, 10),
-        "reports are bound to the second engine"
+        "reports should go to the second engine alone"
     );
     for n in 0..5 {
         assert!(test_bed.query("load", &format!("INSERT {n}")).succeeded());
@@ -137,7 +143,7 @@
     assert_eq!(
         gateway.attempts_per_engine(),
         (5, 10),
-        "loads prefer the first"
+        "loads should prefer the first engine"
     );
     test_bed.log.publish(list_change_event(
         1,
@@ -151,7 +157,7 @@
     assert_eq!(
         gateway.attempts_per_engine().0,
         before,
-        "the second preference, as the first has none left"
+        "loads should go to the second pool, as the first has no engine left"
     );
     test_bed.log.publish(list_change_event(
         2,
@@ -165,7 +171,7 @@
     let answer = test_bed.query_with_id(&new_id(), "report", 400, "SELECT 1");
     assert_eq!(
         answer.status, 503,
-        "bound to a removed engine, it is sent to no other: {answer:?}"
+        "a query bound to a removed engine should be rejected: {answer:?}"
     );
     assert_eq!(gateway.attempts_per_engine().0, before);
 
@@ -221,19 +227,21 @@
     let third = test_bed.query("report", "SELECT 1");
     assert!(
         began.elapsed() < Duration::from_millis(200),
-        "at once: {:?}",
+        "the rejection took {:?}",
         began.elapsed()
     );
     assert_eq!(
         (third.status, &third.json["reason"]),
         (503, &json!("over the limit each (Rate)"))
     );
-    let wait = third.retry_after_ms.expect("a Retry-After");
-    assert!((10..=250).contains(&wait), "{wait}");
+    let wait = third
+        .retry_after_ms
+        .expect("the rejection should carry x-wait-ms");
+    assert!((10..=250).contains(&wait), "Retry-After of {wait} ms");
     sleep(Duration::from_millis(wait + 5));
     assert!(
         test_bed.query("report", "SELECT 1").succeeded(),
-        "then there is capacity"
+        "the limit should admit a query after the Retry-After"
     );
 
     let (slow, id) = (test_bed.open(), new_id());
@@ -252,13 +260,13 @@
         (second.status, &second.json["reason"]),
         (503, &json!("over the limit loads (InHand)"))
     );
-    // A repeated request is not another query.
+    // A repeated request does not count as another query.
     let repeated = test_bed.query_with_id(&id, "load", 3000, "INSERT /* slow */");
     assert!(repeated.succeeded(), "{repeated:?}");
     assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded());
     assert!(
         test_bed.query("load", "INSERT").succeeded(),
-        "capacity again"
+        "the limit should admit a query again"
     );
     assert_eq!(test_bed.query("load", &"x".repeat(101)).status, 413);
 }
@@ -290,7 +298,7 @@
             }
             answers
         });
-        // A query that is active while the plan changes keeps the plan that it was admitted under.
+        // A query that is active during the reload keeps the plan under which it was admitted.
         let (slow, reader) = (test_bed.open(), test_bed.open());
         send_request(
             &slow,
@@ -310,7 +318,7 @@
         assert_eq!(
             gateway.attempts_per_engine().0,
             1,
-            "reports stay with the second"
+            "number of attempts at the first engine under the old plan"
         );
         gateway.reload(
             &ROUTES
@@ -326,7 +334,7 @@
         sleep(Duration::from_millis(100));
         assert!(
             gateway.attempts_per_engine().1 <= before + 1,
-            "the second gets no more of them"
+            "the second engine should get no more reports under the new plan"
         );
         assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded());
         drop(reader);
@@ -404,7 +412,7 @@
     assert_eq!(
         code(&["plan", "fmt", &path_text(&unreadable)]),
         1,
-        "an unreadable file is not changed"
+        "a file that cannot be parsed should not be changed"
     );
     assert_eq!(
         std::fs::read_to_string(&unreadable).unwrap(),
@@ -419,6 +427,6 @@
     assert_eq!(
         code(&["plan", "fmt", "--check", &path_text(&example)]),
         0,
-        "the example is formatted"
+        "the example plan should be formatted"
     );
 }
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! A gateway with a journal, killed while non-idempotent queries are in flight: by the engine's count none runs twice, and
-//! its key is paused for what may still run.
+//! A gateway with a journal is killed while non-idempotent queries are in flight, or its disk fails. By the engine's
+//! count no query runs twice, and a key is paused for an attempt that may still run.
 
 mod helper;
 
@@ -14,9 +14,10 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
+/// Header field with the ordering key of these tests.
 const KEY: &str = "X-Item: 7f3a9c21e0b4d655\r\n";
 
-/// A gateway that can be killed and restarted with the same address and journal.
+/// A gateway that can be killed and restarted at the same address and with the same journal.
 struct RestartableGateway {
     engine: FakeEngineProcess,
     _log: FakeChangeLog,
@@ -88,6 +89,7 @@
         });
     }
 
+    /// Kills the gateway, starts it again and waits until it is healthy.
     fn restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -95,6 +97,7 @@
         self.wait_until_healthy();
     }
 
+    /// Sends a non-idempotent query with the ordering key and returns its connection.
     fn send_load(&self, id: &str, statement: &str) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
         send_request(
@@ -130,7 +133,7 @@
     assert_eq!(
         (again.status, &again.json),
         (500, &json!({"error": "Failed"})),
-        "it may have run"
+        "a query that may have run should be answered as failed"
     );
     let next = Answer::of(
         read_message(&mut std::io::BufReader::new(
@@ -140,12 +143,12 @@
     );
     assert!(next.succeeded(), "{next:?}");
     let all = gateway.engine.attempts();
-    assert_eq!(all.len(), 2, "one attempt each: {all:#?}");
+    assert_eq!(all.len(), 2, "expected one attempt of each query: {all:#?}");
     assert!(
         all[0].ended_at().unwrap() <= all[1].received_at,
-        "the key was paused for what still ran"
+        "the second attempt should start after the first one has ended"
     );
-    // An answered query does not delay the key after a restart.
+    // A query that was answered before the kill does not delay its key.
     gateway.restart();
     let third = Answer::of(
         read_message(&mut std::io::BufReader::new(
@@ -156,26 +159,28 @@
     assert!(third.succeeded());
 }
 
-/// Killed repeatedly, with clients that resend their queries: by the engine's count no query runs twice.
+/// The gateway is killed repeatedly, and clients send their queries again.
 #[test]
-fn killed_in_a_loop_no_non_idempotent_query_runs_twice() {
-    killed_in_a_loop(|_, _| {});
+fn no_non_idempotent_query_runs_twice_when_the_gateway_is_killed_repeatedly() {
+    assert_none_runs_twice_after_kills(|_, _| {});
 }
 
-/// The same with wall clock steps of seconds and of an hour, forward and back, between two processes.
+/// The wall clock steps by seconds or by an hour, forward or back, between two gateway processes.
 #[test]
-fn killed_in_a_loop_while_the_wall_clock_steps_none_runs_twice() {
-    killed_in_a_loop(|faults, round| {
+fn no_non_idempotent_query_runs_twice_when_the_wall_clock_steps_between_kills() {
+    assert_none_runs_twice_after_kills(|faults, round| {
         faults.enable("realtime", ["3600", "-3600", "7", "-7"][round as usize % 4])
     });
 }
 
-/// Number of kills; `GATEWAY_TEST_KILLS` overrides it.
+/// Returns the number of kills; `GATEWAY_TEST_KILLS` overrides the default.
 fn kills() -> u64 {
     std::env::var("GATEWAY_TEST_KILLS").map_or(12, |n| n.parse().unwrap())
 }
 
-fn killed_in_a_loop(before_restart: impl Fn(&Faults, u64)) {
+/// Kills the gateway in several rounds and asserts that no query ran twice. `before_restart` is called with the number
+/// of the round before each kill.
+fn assert_none_runs_twice_after_kills(before_restart: impl Fn(&Faults, u64)) {
     let mut gateway = RestartableGateway::start();
     let mut ids = Vec::new();
     for round in 0..kills() {
@@ -194,7 +199,7 @@
                 stream
             })
             .collect();
-        // From before the first record to after the last answer.
+        // The kills are spread over the time from before the first record to after the last answer.
         sleep(ms(round * 7 % 30).saturating_sub(began.elapsed()));
         before_restart(&gateway.faults, round);
         gateway.restart();
@@ -226,14 +231,14 @@
             .iter()
             .any(|attempt| attempt.id == id)
     };
-    assert!(twice.is_empty(), "run twice: {twice:?}");
+    assert!(twice.is_empty(), "queries ran twice: {twice:?}");
     assert!(
         ids.iter().filter(|id| known(id)).count() > 20,
-        "most reached the engine"
+        "more than 20 queries should have reached the engine"
     );
 }
 
-/// Duration of a disk fault; `GATEWAY_TEST_DISK_MS` overrides it.
+/// Returns the duration of a disk fault; `GATEWAY_TEST_DISK_MS` overrides the default.
 fn disk_fault_duration() -> Duration {
     ms(std::env::var("GATEWAY_TEST_DISK_MS").map_or(500, |n| n.parse().unwrap()))
 }
@@ -241,7 +246,7 @@
 const ENOSPC: i32 = 28;
 const EIO: i32 = 5;
 
-/// Calls that fail together: those of an append, and those that rewriting the file needs as well.
+/// Sets of calls that fail together: those that append a record, some with those that rewriting the file needs.
 const DISK_FAULTS: [&[&str]; 5] = [
     &["disk-write"],
     &["disk-sync"],
@@ -256,6 +261,7 @@
     ],
 ];
 
+/// Sends a non-idempotent query, which needs the journal, and returns the answer.
 fn load(gateway: &RestartableGateway) -> Answer {
     let stream = TcpStream::connect(gateway.address).unwrap();
     let id = new_id();
@@ -270,6 +276,7 @@
     )
 }
 
+/// Sends an idempotent query, which needs no journal, and returns the answer.
 fn report(gateway: &RestartableGateway) -> Answer {
     let stream = TcpStream::connect(gateway.address).unwrap();
     Answer::of(
@@ -283,17 +290,20 @@
     )
 }
 
-/// While the disk fails, queries that need no journal are served and those that need one are rejected at once; afterwards
-/// all are served again.
+/// Asserts that while the disk fails, queries that need no journal are served and others rejected at once, and that all
+/// are served again within 2 s of the end of the fault.
 fn assert_recovers_from_disk_fault(gateway: &RestartableGateway, calls: &[&str]) {
     let began = Instant::now();
     while began.elapsed() < disk_fault_duration() {
-        assert!(report(gateway).succeeded(), "{calls:?}");
+        assert!(
+            report(gateway).succeeded(),
+            "{calls:?} fail: a query that needs no journal failed"
+        );
         let sent_at = Instant::now();
         let rejected = load(gateway);
         assert!(
             !rejected.succeeded() && sent_at.elapsed() < ms(400),
-            "{calls:?}: {rejected:?} after {:?}",
+            "{calls:?} fail: expected a rejection within 0.4 s, {rejected:?} after {:?}",
             sent_at.elapsed()
         );
     }
@@ -302,7 +312,7 @@
     while !load(gateway).succeeded() {
         assert!(
             recovered_at.elapsed() < ms(2000),
-            "{calls:?}: not served again"
+            "{calls:?} failed: no query succeeds within 2 s of the end of the fault"
         );
         sleep(ms(20));
     }
@@ -312,7 +322,10 @@
         .attempts()
         .iter()
         .for_each(|attempt| *runs.entry(attempt.id.clone()).or_default() += 1);
-    assert!(runs.values().all(|n| *n == 1), "{calls:?}: run twice");
+    assert!(
+        runs.values().all(|n| *n == 1),
+        "{calls:?} failed: a query ran twice"
+    );
 }
 
 #[test]
@@ -328,26 +341,29 @@
     }
 }
 
-/// What happened: each sync took 0.8 s, and no non-idempotent query was sent, though all had seven seconds: each was answered
-/// as failed after 0.5 s. The cause was a bound on the journal write (`WRITTEN_IN`) shorter than the query's deadline; the
-/// evidence is `journal is too slow: a once-only batch was not sent` for each, and no attempt at the engine. A query now waits
-/// for its record until its deadline.
+/// Guards against a bound on the journal write that is shorter than the query's deadline. When each sync took 0.8 s,
+/// every non-idempotent query was answered as failed after 0.5 s and none was sent, although all had seven seconds
+/// left. A query now waits for its record until its deadline.
 #[test]
-fn disk_with_slow_syncs_is_used() {
+fn non_idempotent_queries_are_sent_although_syncs_are_slow() {
     let gateway = RestartableGateway::start();
     assert!(load(&gateway).succeeded());
     gateway.faults.enable("disk-slow", "800");
     for _ in 0..3 {
         let began = Instant::now();
-        assert!(load(&gateway).succeeded(), "after {:?}", began.elapsed());
+        assert!(
+            load(&gateway).succeeded(),
+            "failed after {:?}",
+            began.elapsed()
+        );
         assert!(
             began.elapsed() >= ms(800),
-            "nothing leaves before its record is on the disk"
+            "the query should not be sent before its record is on the disk"
         );
     }
 }
 
-/// A gateway started while the disk fails serves what needs no journal and forgets no attempt that was sent.
+/// A gateway that starts while the disk fails forgets no attempt that was sent before.
 #[test]
 fn gateway_started_while_the_disk_fails_serves_queries_that_need_no_journal() {
     let mut gateway = RestartableGateway::start();
@@ -374,7 +390,7 @@
     assert_eq!(
         (again.status, &again.json),
         (500, &json!({"error": "Failed"})),
-        "it may have run"
+        "a query that may have run should be answered as failed"
     );
     assert_recovers_from_disk_fault(&gateway, &calls);
 }
