--- a/crates/gateway/tests/closing.rs
+++ b/crates/gateway/tests/closing.rs
@@ -31,7 +31,9 @@
     (&stream)
         .write_all(request_text(&new_id(), "SELECT 1").as_bytes())
         .unwrap();
-    assert!(read_answer(&stream).expect("an answer").succeeded());
+    assert!(read_answer(&stream)
+        .expect("an answer should arrive")
+        .succeeded());
     stream
 }
 
@@ -134,7 +136,9 @@
     (&stream).write_all(first.as_bytes()).unwrap();
     sleep_until(signalled_at + ms(900));
     (&stream).write_all(rest.as_bytes()).unwrap();
-    assert!(read_answer(&stream).expect("an answer").succeeded());
+    assert!(read_answer(&stream)
+        .expect("an answer should arrive")
+        .succeeded());
 }
 
 /// The gateway never forwards a request that was written after it closed the connection, and no reset loses the answer
@@ -230,7 +234,12 @@
         let writer_thread = std::thread::spawn(move || {
             let _ = (&writer).write_all(&request);
         });
-        assert_eq!(read_answer(&stream).expect("an answer").status, 413);
+        assert_eq!(
+            read_answer(&stream)
+                .expect("an answer should arrive")
+                .status,
+            413
+        );
         drop(stream);
         writer_thread.join().unwrap();
     }
@@ -249,7 +258,9 @@
     (&stream)
         .write_all(request_text(&new_id(), "SELECT 2").as_bytes())
         .unwrap();
-    assert!(read_answer(&stream).expect("an answer").succeeded());
+    assert!(read_answer(&stream)
+        .expect("an answer should arrive")
+        .succeeded());
     assert!(test_bed.child.wait().unwrap().success());
     assert!(
         signalled_at.elapsed() < ms(3700),
@@ -324,7 +335,7 @@
     let request = request_text(&new_id(), "SELECT 1");
     (&stream).write_all(&request.as_bytes()[..40]).unwrap();
     let began = Instant::now();
-    let answer = read_answer(&stream).expect("an answer");
+    let answer = read_answer(&stream).expect("an answer should arrive");
     assert!(
         answer.status == 408 && began.elapsed() < ms(3000),
         "expected 408 within 3 s: {answer:?} after {:?}",
--- a/crates/gateway/tests/early_signals.rs
+++ b/crates/gateway/tests/early_signals.rs
@@ -83,7 +83,7 @@
     drop(pipe);
     // The gateway serves although the pipe has not been written again for the reload.
     let address: std::net::SocketAddr = configuration["listen"].as_str().unwrap().parse().unwrap();
-    wait_until("it listens", || {
+    wait_until("the gateway listens", || {
         std::net::TcpStream::connect(address).is_ok()
     });
     // The reload reads a configuration that names another change log.
@@ -93,7 +93,7 @@
         .write_all(configuration.to_string().as_bytes())
         .unwrap();
     drop(second_pipe);
-    wait_until("it follows the other log", || {
+    wait_until("the gateway follows the other log", || {
         !second_log.last_event_ids.lock().unwrap().is_empty()
     });
     let stream = std::net::TcpStream::connect(address).unwrap();
@@ -103,7 +103,7 @@
         &request_headers(&new_id(), 3000),
         "SELECT 1",
     );
-    assert!(Answer::of(answer.expect("an answer")).succeeded());
+    assert!(Answer::of(answer.expect("an answer should arrive")).succeeded());
 }
 
 fn assert_sigterm_during_startup_exits_with_0() {
--- a/crates/gateway/tests/extremes.rs
+++ b/crates/gateway/tests/extremes.rs
@@ -198,7 +198,7 @@
             &request_headers(&id, 3000),
             "SELECT 1 /* runs 60000 */",
         );
-        wait_until("the start", || engine.attempts().len() == 1);
+        wait_until("the start is received", || engine.attempts().len() == 1);
         let cancel = test_bed.open();
         let cancelled_at = Instant::now();
         if close_first {
@@ -361,7 +361,7 @@
         let state = if number % 2 == 1 { &drained } else { &lines };
         test_bed.log.publish(list_change_event(number, state));
     }
-    wait_until("all drain", || {
+    wait_until("all engines drain", || {
         test_bed
             .query_with_id(&new_id(), "report", 300, "SELECT 1")
             .status
@@ -380,7 +380,7 @@
         "number of attempts after all engines began to drain"
     );
     test_bed.log.publish(list_change_event(10, &lines));
-    wait_until("all serve again", || {
+    wait_until("all engines serve again", || {
         test_bed.query("report", "SELECT 1").succeeded()
     });
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -55,7 +55,7 @@
     );
     let other = FakeEngine::start();
     test_bed.log.publish(full_list(1, "b", other.address));
-    wait_until("the last engine of the log's list", || {
+    wait_until("the only ready engine of the log's list is used", || {
         test_bed.query("report", "SELECT 2").succeeded() && other.requests("POST") > 0
     });
     // Each full list has new names. The indexes of engines that have gone are kept for a while, and no limit is
@@ -65,7 +65,7 @@
         test_bed
             .log
             .publish(full_list(number, &format!("{number}c"), newest.address));
-        wait_until("the newest list", || {
+        wait_until("the newest list is applied", || {
             test_bed.query("report", "SELECT 3").succeeded() && newest.requests("POST") > 0
         });
     }
--- a/crates/gateway/tests/floods.rs
+++ b/crates/gateway/tests/floods.rs
@@ -225,7 +225,7 @@
     test_bed.signal("TERM");
     let signalled_at = Instant::now();
     for stream in calls {
-        let answer = read_message(&mut BufReader::new(stream)).expect("an answer");
+        let answer = read_message(&mut BufReader::new(stream)).expect("an answer should arrive");
         assert!(!Answer::of(answer).succeeded());
     }
     assert!(
--- a/crates/gateway/tests/late_start.rs
+++ b/crates/gateway/tests/late_start.rs
@@ -66,7 +66,9 @@
 fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let try_accept = |_| listener.accept().map_err(|_| sleep(ms(5))).ok();
-    let (stream, _) = (0..1000).find_map(try_accept).expect("a connection");
+    let (stream, _) = (0..1000)
+        .find_map(try_accept)
+        .expect("a connection should arrive");
     stream.set_nonblocking(false).unwrap();
     stream
 }
@@ -158,7 +160,8 @@
     // left.
     let first_query = spawn(move || {
         let stream = accept(&slow);
-        read_message(&mut std::io::BufReader::new(stream.try_clone().unwrap())).expect("a start");
+        read_message(&mut std::io::BufReader::new(stream.try_clone().unwrap()))
+            .expect("a start should arrive");
         (&stream)
             .write_all(http_response("200 OK", "Result-Pages: 1\r\n", ROWS).as_bytes())
             .unwrap();
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -73,7 +73,7 @@
             &format!("SELECT 2 /* {} */", "x".repeat(filling)),
         );
     stream.write_all(calls.as_bytes()).unwrap();
-    wait_until("the first attempt", || {
+    wait_until("the engine receives the first attempt", || {
         attempt_of(&engine, &first).is_some()
     });
     disconnect(stream);
@@ -134,7 +134,7 @@
     });
     let (first, second, third) = (new_id(), new_id(), new_id());
     let _first = send_keyed(&test_bed, &first, "INSERT 1 /* runs 2500 */");
-    wait_until("the first attempt", || {
+    wait_until("the engine receives the first attempt", || {
         attempt_of(&engine, &first).is_some()
     });
     let disconnecting = send_keyed(&test_bed, &second, "INSERT 2");
@@ -143,7 +143,7 @@
     let _third = send_keyed(&test_bed, &third, "INSERT 3");
     sleep(ms(10));
     finish_attempt(&engine, &first);
-    wait_until("the third attempt", || {
+    wait_until("the engine receives the third attempt", || {
         attempt_of(&engine, &third).is_some()
     });
     assert!(
@@ -161,12 +161,13 @@
     });
     let (first, second) = (new_id(), new_id());
     let _first = send_keyed(&test_bed, &first, "INSERT 1 /* runs 300 */");
-    wait_until("the first attempt", || {
+    wait_until("the engine receives the first attempt", || {
         attempt_of(&engine, &first).is_some()
     });
     drop(send_keyed(&test_bed, &second, "INSERT 2"));
     let again = send_keyed(&test_bed, &second, "INSERT 2");
-    let answer = read_message(&mut std::io::BufReader::new(again)).expect("an answer");
+    let answer =
+        read_message(&mut std::io::BufReader::new(again)).expect("an answer should arrive");
     assert!(Answer::of(answer).succeeded());
     assert_eq!(
         engine
@@ -223,7 +224,7 @@
     for _ in 0..5 {
         let (first, second) = (new_id(), new_id());
         let first_call = send_keyed(&test_bed, &first, "INSERT 1 /* runs 2500 */");
-        wait_until("the first attempt", || {
+        wait_until("the engine receives the first attempt", || {
             attempt_of(&engine, &first).is_some()
         });
         let disconnecting = send_keyed(&test_bed, &second, "INSERT 2");
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -129,7 +129,7 @@
         "answered after {:?}",
         answered.after
     );
-    answered.answer.expect("an answer")
+    answered.answer.expect("an answer should arrive")
 }
 
 /// The deadline passes while the engine drains: it refuses new connections and its attempts run on. The cancellation
--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -149,7 +149,7 @@
         1,
         &[endpoint("s-1", test_bed.engine.address, "DRAINING")],
     ));
-    wait_until("the drain", || {
+    wait_until("the drain is applied", || {
         test_bed.query("load", "INSERT").succeeded() && gateway.attempts_per_engine().1 > 10
     });
     let before = gateway.attempts_per_engine().0;
@@ -251,7 +251,7 @@
         &request_headers(&id, 3000),
         "INSERT /* slow */",
     );
-    wait_until("the start", || {
+    wait_until("the engine receives the start", || {
         gateway.attempts_per_engine() != (3, 0)
             && gateway.attempts_per_engine().0 + gateway.attempts_per_engine().1 == 4
     });
@@ -279,7 +279,7 @@
     assert_eq!(answer.status, 503);
     assert!(
         began.elapsed() < Duration::from_millis(600),
-        "{:?}",
+        "it took {:?}",
         began.elapsed()
     );
 }
@@ -326,7 +326,7 @@
                 .replace("to two", "to one"),
         );
         gateway.wait_until_logged("plan updated");
-        wait_until("reports at the first", || {
+        wait_until("reports go to the first engine", || {
             gateway.attempts_per_engine().0 > 3
         });
         let before = gateway.attempts_per_engine().1;
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -84,7 +84,7 @@
                 .ok()
                 .and_then(|s| round_trip(s, "GET /healthz", "", ""))
         };
-        wait_until("health", || {
+        wait_until("the gateway is healthy", || {
             health_response().is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
         });
     }
@@ -212,7 +212,7 @@
                 &request_headers(id, 7000),
                 &format!("INSERT {id} /* runs 3 */"),
             );
-            let answer = Answer::of(answer.expect("an answer"));
+            let answer = Answer::of(answer.expect("an answer should arrive"));
             assert!([200, 500, 503].contains(&answer.status), "{answer:?}");
         }
         ids.extend(round_ids);
@@ -272,7 +272,7 @@
             &request_headers(&id, 3000),
             &format!("INSERT {id}"),
         )
-        .expect("an answer"),
+        .expect("an answer should arrive"),
     )
 }
 
@@ -286,7 +286,7 @@
             &request_headers(&new_id(), 3000),
             "SELECT 1",
         )
-        .expect("an answer"),
+        .expect("an answer should arrive"),
     )
 }
 
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! The gateway program over sockets, between raw clients, a stand-in engine and a stand-in change log. Directives in the
-//! comments of a statement control the engine's behaviour.
+//! The gateway program over sockets, between raw HTTP clients, a fake engine and a fake change log. Directives in the
+//! comments of a statement tell the fake engine how to deviate from the protocol.
 
 mod helper;
 
@@ -30,7 +30,7 @@
         test_bed.query("report", "SELECT 1 /* empty */").json,
         json!({"data": []})
     );
-    // Several requests on one connection.
+    // Several requests are answered on one connection.
     let stream = test_bed.open();
     for _ in 0..5 {
         let answer = round_trip(
@@ -99,19 +99,20 @@
         );
     }
     assert_eq!(test_bed.query("report", "").status, 400);
-    // Also read by a client that is still sending.
+    // A client that is still sending its body can read the answer.
     assert_eq!(test_bed.query("report", &"x".repeat(3_000_000)).status, 413);
     assert_eq!(test_bed.engine.requests("POST"), 0);
 }
 
-/// Each way in which an attempt can fail, and the query's answer then.
+/// An attempt can be rejected, fail, or return an incomplete or too large result. The query is retried, rejected or
+/// answered as failed, and its answer has no rows.
 #[test]
-fn every_failed_attempt_has_an_outcome_and_no_rows() {
+fn query_with_a_failed_attempt_is_retried_or_answered_without_rows() {
     let test_bed = TestBed::start();
     let retried = test_bed.query("report", "SELECT 1 /* full once */");
     assert!(
         retried.succeeded(),
-        "a rejected attempt never ran: {retried:?}"
+        "a rejected attempt should be retried, as it never ran: {retried:?}"
     );
     for words in ["error", "lost page", "no count", "huge"] {
         let before = test_bed.engine.requests("POST");
@@ -119,7 +120,7 @@
         assert_eq!(
             (answer.status, test_bed.engine.requests("POST") - before),
             (500, 1),
-            "non-idempotent, {words}: {answer:?}"
+            "status and number of attempts of a non-idempotent query, {words}: {answer:?}"
         );
     }
     let failed = test_bed.query("report", "SELECT 1 /* error */");
@@ -130,7 +131,7 @@
     assert_eq!(
         test_bed.engine.requests("POST /c SELECT 1 /* error */"),
         2,
-        "two attempts are allowed"
+        "number of attempts, of which two are allowed"
     );
 }
 
@@ -141,7 +142,8 @@
     assert_eq!(test_bed.engine.requests("POST"), 1);
 }
 
-/// Corrupted responses: the engine repeats a result when polled, and is polled before the query is abandoned.
+/// The engine repeats a result when it is polled. After a corrupted response the gateway polls once more before it
+/// abandons the query.
 #[test]
 fn corrupted_response_is_polled_again_and_reaches_no_other_query() {
     let test_bed = TestBed::start();
@@ -170,23 +172,23 @@
             assert_eq!(
                 (answer.status, answer.json),
                 (200, rows(kind)),
-                "{corruption}, {kind}"
+                "status and rows after a corruption: {corruption}, {kind}"
             );
             assert_eq!(
                 test_bed.query("report", "SELECT 1").json,
                 rows("one"),
-                "after {corruption}"
+                "rows of the next query after a corruption: {corruption}"
             );
         }
     }
     assert_eq!(
         test_bed.engine.requests("POST"),
         28,
-        "no query was sent twice"
+        "number of attempts, one for each query"
     );
 }
 
-/// Responses that are late or missing: lookups waited 0.75 s for them and missed their latency objective.
+/// Guards against waiting 0.75 s for a response that is late or lost, by which lookups missed their latency objective.
 #[test]
 fn missing_response_is_polled_once_it_is_due() {
     let test_bed = TestBed::start();
@@ -194,13 +196,14 @@
     assert!(test_bed.query("load", "INSERT /* late */").succeeded());
     assert!(
         began.elapsed() < Duration::from_millis(700),
-        "{:?}",
+        "it took {:?}",
         began.elapsed()
     );
     assert_eq!(test_bed.engine.requests("POST"), 1);
 }
 
-/// Connection resets: an engine that had received a complete start ran it without polls while the key's next query was sent.
+/// Guards against sending the next query of a key after a connection reset while the engine, which had received the
+/// complete start, still ran it without polls.
 #[test]
 fn attempt_of_unknown_outcome_is_cancelled_before_it_counts_as_ended() {
     let test_bed = TestBed::start();
@@ -210,7 +213,7 @@
             .status,
         500
     );
-    wait_until("the DELETE", || {
+    wait_until("the engine receives the DELETE", || {
         (
             test_bed.engine.requests("POST"),
             test_bed.engine.requests("DELETE"),
@@ -254,15 +257,15 @@
     assert_eq!(answer.status, 500);
     assert!(
         began.elapsed() < Duration::from_millis(1050),
-        "{:?}",
+        "it took {:?}",
         began.elapsed()
     );
-    wait_until("the DELETE", || {
+    wait_until("the engine receives the DELETE", || {
         test_bed.engine.requests(&format!("DELETE /c/{id}")) == 1
     });
 }
 
-/// An attempt cancelled shortly before the deadline must not be awaited past it.
+/// An attempt that is cancelled shortly before the deadline must not delay the answer past the deadline.
 #[test]
 fn attempt_cancelled_late_does_not_delay_the_answer() {
     let test_bed = TestBed::start();
@@ -274,7 +277,8 @@
         "SELECT 1 /* keeps delete */",
     );
     sleep(Duration::from_millis(800));
-    // An engine listed with a start time after the attempt has lost it: the attempt is cancelled.
+    // The list says that the engine has started after the attempt, so the engine has lost the attempt, and the gateway
+    // cancels it.
     let unix = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap();
@@ -285,7 +289,7 @@
     assert_eq!(answer.status, 503);
     assert!(
         began.elapsed() < Duration::from_millis(1050),
-        "{:?}",
+        "it took {:?}",
         began.elapsed()
     );
 }
@@ -293,7 +297,7 @@
 #[test]
 fn client_disconnect_or_cancel_cancels_the_attempt() {
     let test_bed = TestBed::start();
-    for way in ["closes", "deletes"] {
+    for action in ["closes", "deletes"] {
         let id = new_id();
         let stream = test_bed.open();
         send_request(
@@ -302,10 +306,10 @@
             &request_headers(&id, 3000),
             "SELECT 1 /* slow */",
         );
-        wait_until("the start", || {
+        wait_until("the engine receives the start", || {
             test_bed.engine.started.lock().unwrap().contains_key(&id)
         });
-        if way == "deletes" {
+        if action == "deletes" {
             let answer = round_trip(
                 test_bed.open(),
                 "DELETE /v1/report",
@@ -316,7 +320,7 @@
             assert_eq!(answer.start_line, "HTTP/1.1 204 No Content");
         }
         drop(stream);
-        wait_until(way, || {
+        wait_until(action, || {
             test_bed.engine.requests(&format!("DELETE /c/{id}")) == 1
         });
     }
@@ -339,7 +343,7 @@
     for stream in both {
         assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
     }
-    // A repeated request gets the same answer without a second attempt; with another statement it is refused.
+    // A repeated request gets the same answer without a second attempt. With another statement it is refused.
     assert!(test_bed
         .query_with_id(&id, "load", 3000, "INSERT /* slow */")
         .succeeded());
@@ -348,7 +352,7 @@
         409
     );
     assert_eq!(test_bed.engine.requests("POST"), 1);
-    // A disconnected client has 50 ms to reconnect; a slow machine may take longer, hence several rounds.
+    // A disconnected client may reconnect within 50 ms. A slow machine may take longer, hence several rounds.
     let joined = (0..10).any(|_| {
         let id = new_id();
         let lost = test_bed.open();
@@ -358,7 +362,7 @@
             &request_headers(&id, 3000),
             "SELECT 1 /* slow */",
         );
-        wait_until("the start", || {
+        wait_until("the engine receives the start", || {
             test_bed.engine.started.lock().unwrap().contains_key(&id)
         });
         drop(lost);
@@ -369,7 +373,7 @@
     assert!(joined);
 }
 
-/// Misbehaving clients got an answer for the id of an active query and a statement of their own.
+/// Guards against an answer of an active query for a client that uses its id with a statement of its own.
 #[test]
 fn active_id_with_another_request_is_refused_and_does_not_affect_the_query() {
     let test_bed = TestBed::start();
@@ -397,7 +401,8 @@
     assert_eq!(test_bed.engine.requests("POST"), 1);
 }
 
-/// Keep-alive and silent connections held all slots, and new ones waited unread and out of order.
+/// Guards against keep-alive and silent connections that hold all slots, so that new connections wait unread and are
+/// served out of order.
 #[test]
 fn silent_and_idle_connections_delay_no_query_and_are_closed() {
     let test_bed = TestBed::start();
@@ -427,7 +432,7 @@
     assert!(test_bed.query("report", "SELECT 1").succeeded());
     assert!(
         began.elapsed() < Duration::from_millis(1500),
-        "{:?}",
+        "it took {:?}",
         began.elapsed()
     );
     let busy = test_bed.open();
@@ -444,18 +449,19 @@
         let end = std::io::copy(&mut stream, &mut std::io::sink());
         assert!(
             !end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock),
-            "still open"
+            "a silent connection is still open after 3 s"
         );
     }
     assert!(
         began.elapsed() < Duration::from_millis(3500),
-        "{:?}",
+        "it took {:?}",
         began.elapsed()
     );
     drop(keep_alive);
     assert!(
-        Answer::of(read_message(&mut BufReader::new(busy)).expect("an answer")).succeeded(),
-        "it sent a query"
+        Answer::of(read_message(&mut BufReader::new(busy)).expect("an answer should arrive"))
+            .succeeded(),
+        "the query should succeed, as its connection is not silent"
     );
 }
 
@@ -482,7 +488,7 @@
     assert_eq!(
         test_bed.engine.requests("POST"),
         1,
-        "the others wait for the first"
+        "number of attempts while the first query runs"
     );
     for stream in streams {
         assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
@@ -493,7 +499,7 @@
 }
 
 #[test]
-fn the_change_log_is_followed_over_faults_and_lost_connections() {
+fn change_log_is_followed_across_malformed_events_and_lost_connections() {
     let test_bed = TestBed::start();
     let other = FakeEngine::start();
     test_bed.log.publish(
@@ -506,8 +512,8 @@
             endpoint("s-2", other.address, "SERVING"),
         ],
     ));
-    // The malformed event is requested again once, then skipped.
-    wait_until("the second connection", || {
+    // A malformed event is requested once more, then skipped.
+    wait_until("the gateway connects a second time", || {
         test_bed
             .log
             .last_event_ids
@@ -515,7 +521,7 @@
             .unwrap()
             .starts_with(&[0, 0])
     });
-    wait_until("the new engine", || {
+    wait_until("the new engine is used", || {
         test_bed.query("report", "SELECT 1").succeeded() && other.requests("POST") > 0
     });
     let before = test_bed.engine.requests("POST");
@@ -523,17 +529,17 @@
     assert_eq!(
         test_bed.engine.requests("POST"),
         before,
-        "no attempt at a draining engine"
+        "number of attempts at the draining engine"
     );
     test_bed.log.close_streams();
-    wait_until("the third connection", || {
+    wait_until("the gateway connects a third time", || {
         test_bed.log.last_event_ids.lock().unwrap().last() == Some(&2)
     });
     test_bed.log.publish(full_list_event(
         3,
         &[endpoint("s-3", test_bed.engine.address, "SERVING")],
     ));
-    wait_until("the full list", || {
+    wait_until("the full list is applied", || {
         test_bed.query("report", "SELECT 1").succeeded()
             && test_bed.engine.requests("POST") > before
     });
@@ -542,10 +548,10 @@
     assert_eq!(
         other.requests("POST"),
         requests_before,
-        "an engine that a full list does not name is removed"
+        "number of attempts at an engine that the full list does not name"
     );
     test_bed.log.paused.store(true, Ordering::Relaxed);
-    wait_until("a fresh connection in place of a silent one", || {
+    wait_until("another connection is opened beside a silent one", || {
         test_bed.log.last_event_ids.lock().unwrap().last() == Some(&3)
     });
 }
@@ -594,14 +600,14 @@
     sleep(Duration::from_millis(300));
     assert!(
         test_bed.query("report", "SELECT 1").succeeded(),
-        "connections are still accepted"
+        "new connections should still be accepted after SIGTERM"
     );
     assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded());
     assert!(test_bed.child.wait().unwrap().success());
     assert!(began.elapsed() < Duration::from_millis(3700));
 }
 
-/// SIGKILL may come 3.7 s after SIGTERM, however long queries may take.
+/// SIGKILL may come 3.7 s after SIGTERM, even if queries may take longer.
 #[test]
 fn sigterm_leaves_no_query_unanswered_at_the_earliest_kill() {
     let mut test_bed = TestBed::start_with(|config| {
@@ -624,12 +630,12 @@
     assert!(test_bed.child.wait().unwrap().success());
     assert!(
         began.elapsed() < Duration::from_millis(3700),
-        "{:?}",
+        "it took {:?}",
         began.elapsed()
     );
 }
 
-/// An unhandled SIGHUP ended the gateway on each new configuration.
+/// Guards against an unhandled SIGHUP, which ended the gateway on each new configuration.
 #[test]
 fn sighup_follows_the_new_change_log_and_keeps_the_old_configuration_if_the_new_one_is_faulty() {
     let path = write_config(&Value::Null);
@@ -641,7 +647,7 @@
         },
     );
     test_bed.log.publish(list_change_event(1, &[]));
-    wait_until("the first log", || {
+    wait_until("the gateway connects to the first log", || {
         test_bed.log.last_event_ids.lock().unwrap().as_slice() == [0]
     });
     let slow = test_bed.open();
@@ -670,25 +676,25 @@
     test_bed.config["limits"]["sockets"] = json!(512);
     std::fs::write(&path, test_bed.config.to_string()).unwrap();
     test_bed.signal("HUP");
-    wait_until("the new log from the last number", || {
+    wait_until("the gateway continues with the new log", || {
         new.last_event_ids.lock().unwrap().as_slice() == [1]
     });
     test_bed.log.publish(full_list_event(
         2,
         &[endpoint("s-3", free_address(), "SERVING")],
     ));
-    wait_until("the new engine", || {
+    wait_until("the new engine is used", || {
         test_bed.query("report", "SELECT 1").succeeded() && other.requests("POST") > 0
     });
     assert!(
         Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded(),
-        "no query is affected"
+        "a query that is active during the reload should succeed"
     );
     test_bed.signal("TERM");
     test_bed.signal("HUP");
     assert!(
         test_bed.child.wait().unwrap().success(),
-        "SIGHUP does not end a draining gateway"
+        "SIGHUP should not end a gateway that is shutting down"
     );
     let log_text = std::io::read_to_string(test_bed.child.stderr.take().unwrap()).unwrap();
     for line in [
@@ -696,7 +702,7 @@
         "key=\"limits\"",
         "configuration reloaded",
     ] {
-        assert!(log_text.contains(line), "{line}: {log_text}");
+        assert!(log_text.contains(line), "the log lacks {line}: {log_text}");
     }
 }
 
@@ -747,16 +753,18 @@
         })
         .collect();
     for stream in streams {
-        // Answered connections are closed, so that waiting ones are accepted.
-        let answer = Answer::of(read_message(&mut BufReader::new(stream)).expect("an answer"));
+        // The gateway closes connections after their answers and accepts the waiting ones.
+        let answer =
+            Answer::of(read_message(&mut BufReader::new(stream)).expect("an answer should arrive"));
         assert!(answer.succeeded() || answer.status == 503, "{answer:?}");
     }
     assert!(
         test_bed.query("report", "SELECT 1").succeeded(),
-        "it still serves"
+        "the gateway should still serve queries"
     );
 }
 
+/// Runs the program with these arguments, and with a configuration file if one is given, until it exits.
 fn run(arguments: &[&str], file: Option<&std::path::Path>) -> Output {
     let mut command = gateway_command(arguments);
     if let Some(file) = file {
--- a/crates/gateway/tests/subsets.rs
+++ b/crates/gateway/tests/subsets.rs
@@ -1,5 +1,5 @@
-//! A gateway that uses a subset of its engines, over sockets: engines are killed, drained and replaced, a zone is lost, lists
-//! are late, partial and repeated. The stand-in engines record what the gateway did.
+//! A gateway that uses a subset of its engines, over sockets. Engines are killed, drained and replaced, a zone is lost,
+//! and endpoint lists are late, partial and repeated. Fake engine processes record what the gateway does.
 
 mod helper;
 
@@ -19,29 +19,33 @@
 const ENGINES: usize = 40;
 const ZONES: usize = 4;
 const SUBSET_SIZE: usize = 8;
-/// Least number of members while that many engines are ready.
+/// Least number of members of the subset while that many engines are ready.
 const MIN_MEMBERS: usize = 4;
+/// Number of engines by which failed attempts may extend the subset.
 const RESERVE_SIZE: usize = 4;
-/// Number of killed members; a query may meet one after another.
+/// Number of members that are killed; a query may try them one after another.
 const KILLED_MEMBERS: usize = 2;
-/// Gateways that share the engines: so many that the subset size leaves no engine without gateways.
+/// Number of gateways that share the engines. With so many, each engine is used by some gateway at this subset size.
 const GATEWAYS: usize = 240;
-/// So many that a gateway's share of an engine is no limit here.
+/// Cores of each engine, so many that a gateway's share of an engine does not limit these tests.
 const CORES_PER_ENGINE: usize = 16_384;
 
-/// A gateway with many engines of which it uses a subset.
+/// A gateway with many engines, of which it uses a subset.
 struct SubsetGateway {
     engines: Vec<FakeEngineProcess>,
     test_bed: TestBed,
+    /// The file with the gateway's log.
     log_path: PathBuf,
-    /// The number of the last published event.
+    /// Number of the event published last.
     number: AtomicU64,
 }
 
+/// Returns the zone of an engine.
 fn zone(engine: usize) -> String {
     format!("z{}", engine % ZONES)
 }
 
+/// Returns the endpoint list entry of an engine in its zone.
 fn endpoint_in_zone(id: &str, engine: usize, process: &FakeEngineProcess, state: &str) -> Value {
     let mut entry = endpoint(id, process.address, state);
     entry["zone"] = json!(zone(engine));
@@ -64,7 +68,7 @@
                 config["settings"]["zones"] = (0..ZONES).map(zone).collect();
                 config["settings"]["balancers"] = json!(GATEWAYS);
                 config["settings"]["domain"]["kind-cores"] = json!([CORES_PER_ENGINE]);
-                // One more than the engines that are killed before the list says so.
+                // One more than the number of engines that are killed before the list says so.
                 config["settings"]["allowed"]["max-attempts"] = json!(KILLED_MEMBERS + 1);
                 config["limits"]["sockets"] = json!(1024);
                 config["subset"] = json!({"size": SUBSET_SIZE, "class_floor": MIN_MEMBERS, "reserve": RESERVE_SIZE,
@@ -72,7 +76,7 @@
             },
             |config| {
                 let file = write_config(config);
-                let path = file.with_extension("said");
+                let path = file.with_extension("stderr");
                 let child = serve_from(&file, File::create(&path).unwrap().into());
                 *log_path.lock().unwrap() = path;
                 child
@@ -91,6 +95,7 @@
         std::fs::read_to_string(&self.log_path).unwrap()
     }
 
+    /// Returns the list entry of an engine of the test bed.
     fn endpoint_of(&self, engine: usize, state: &str) -> Value {
         endpoint_in_zone(&format!("s-{engine}"), engine, &self.engines[engine], state)
     }
@@ -109,7 +114,7 @@
         });
     }
 
-    /// Runs enough concurrent queries for every member to get some; returns how many succeeded.
+    /// Runs so many queries at once that every member gets some. Returns the number that succeeded.
     fn run_queries(&self) -> usize {
         let succeeded = AtomicU64::new(0);
         scope(|scope| {
@@ -126,7 +131,7 @@
         succeeded.into_inner() as usize
     }
 
-    /// Engines that received an attempt since then.
+    /// Returns the engines that have received an attempt since a time.
     fn engines_used_since(&self, since: Instant) -> BTreeSet<usize> {
         let used = |n: &usize| {
             self.engines[*n]
@@ -137,7 +142,8 @@
         (0..self.engines.len()).filter(used).collect()
     }
 
-    /// Runs rounds of queries until one uses as many engines as the subset has; returns those engines.
+    /// Runs rounds of queries until one of them uses as many engines as the subset has, and returns these engines.
+    /// Panics after 8 s.
     fn members(&self) -> BTreeSet<usize> {
         let started_at = Instant::now();
         loop {
@@ -147,22 +153,25 @@
             assert_eq!(
                 succeeded,
                 4 * SUBSET_SIZE,
-                "queries that succeeded: {}",
+                "number of queries that succeeded: {}",
                 self.log_text()
             );
-            assert!(used.len() <= SUBSET_SIZE + RESERVE_SIZE, "{used:?}");
+            assert!(
+                used.len() <= SUBSET_SIZE + RESERVE_SIZE,
+                "too many engines used: {used:?}"
+            );
             if used.len() >= SUBSET_SIZE {
                 return used;
             }
             assert!(
                 started_at.elapsed() < ms(8000),
-                "only {used:?} are used: {}",
+                "only the engines {used:?} are used after 8 s: {}",
                 self.log_text()
             );
         }
     }
 
-    /// The attempts whose statement contains a text, in the order received.
+    /// Returns the attempts whose statement contains a text, in the order received.
     fn attempts_with(&self, text: &str) -> Vec<ReceivedAttempt> {
         let of = |e: &FakeEngineProcess| {
             e.attempts()
@@ -192,8 +201,9 @@
     stream
 }
 
+/// Reads the answer on a connection.
 fn answer(stream: TcpStream) -> Answer {
-    Answer::of(read_message(&mut BufReader::new(stream)).expect("an answer"))
+    Answer::of(read_message(&mut BufReader::new(stream)).expect("an answer should arrive"))
 }
 
 #[test]
@@ -204,13 +214,13 @@
     assert_eq!(
         gateway.members(),
         first,
-        "the subset is stable while nothing changes"
+        "the subset should not change while the list stays the same"
     );
     assert_eq!(
         gateway.engines_used_since(Instant::now() - ms(60_000)),
         first
     );
-    // Other engines get no health check either.
+    // Other engines get no health checks either.
     let connected = gateway
         .engines
         .iter()
@@ -219,7 +229,7 @@
     let connected: BTreeSet<usize> = connected.map(|(n, _)| n).collect();
     assert!(
         connected.len() <= SUBSET_SIZE + RESERVE_SIZE,
-        "{connected:?}"
+        "too many engines with connections: {connected:?}"
     );
 }
 
@@ -251,7 +261,7 @@
     };
     assert!(
         gateway.attempts_with("/* out */").iter().any(out),
-        "an attempt runs on a draining engine"
+        "no attempt runs on an engine that is to drain"
     );
     gateway.publish(
         false,
@@ -262,7 +272,10 @@
     );
     let published_at = Instant::now();
     let after = gateway.members();
-    assert!(after.is_disjoint(&drained), "{after:?} after {drained:?}");
+    assert!(
+        after.is_disjoint(&drained),
+        "{after:?} are used although {drained:?} drain"
+    );
     assert!(gateway
         .engines_used_since(published_at)
         .is_disjoint(&drained));
@@ -272,13 +285,13 @@
     for attempt in gateway.attempts_with("/* out */") {
         assert_eq!(
             attempt.stopped_at, None,
-            "no attempt was cancelled: {attempt:?}"
+            "an attempt at a draining engine was ended: {attempt:?}"
         );
     }
     assert_eq!(
         gateway.attempts_with("/* out */").len(),
         SUBSET_SIZE,
-        "nothing was started twice"
+        "number of attempts, one for each query"
     );
     // An engine that serves again may rejoin the subset.
     gateway.publish(
@@ -303,10 +316,10 @@
     assert_eq!(
         gateway.run_queries(),
         4 * SUBSET_SIZE,
-        "before the list is updated"
+        "number of queries that succeeded before the list names the killed engines"
     );
     assert!(gateway.engines_used_since(since).len() >= SUBSET_SIZE - killed.len());
-    // The list replaces them.
+    // The list replaces the killed engines by new ones.
     let mut lines: Vec<Value> = killed
         .iter()
         .map(|n| gateway.endpoint_of(*n, "DELETED"))
@@ -342,7 +355,7 @@
     assert!(gateway.engines_used_since(since).is_disjoint(&killed));
 }
 
-/// A zone is lost and the list does not say so: failed attempts extend the subset by reachable engines.
+/// A zone is lost and the list does not say so. Failed attempts extend the subset by engines that can be reached.
 #[test]
 fn members_that_fail_unlisted_are_covered_by_the_reserve() {
     let gateway = SubsetGateway::start();
@@ -354,7 +367,7 @@
     gateway.run_queries();
     assert!(
         gateway.engines_used_since(started_at).len() < SUBSET_SIZE,
-        "some members are dead"
+        "some members of the subset should have been killed"
     );
     loop {
         let since = Instant::now();
@@ -377,7 +390,7 @@
 }
 
 #[test]
-fn a_lost_zone_is_refilled_from_the_others() {
+fn lost_zone_is_replaced_by_engines_of_other_zones() {
     let gateway = SubsetGateway::start();
     gateway.members();
     let lost: BTreeSet<usize> = (0..ENGINES).filter(|n| n % ZONES == 1).collect();
@@ -392,7 +405,7 @@
             .collect::<Vec<_>>(),
     );
     let published_at = Instant::now();
-    // The remaining members serve all queries at once.
+    // The remaining members serve all queries while the subset is refilled.
     assert_eq!(gateway.run_queries(), 4 * SUBSET_SIZE);
     assert!(gateway.engines_used_since(published_at).len() >= MIN_MEMBERS);
     let members = gateway.members();
@@ -427,7 +440,7 @@
             "{used:?} of {part:?}"
         );
     }
-    // A list without engines, and one with fewer than the subset.
+    // A list without engines is followed by one with fewer engines than the subset has.
     gateway.publish(true, &[]);
     gateway.publish(true, &lines(&all[..3]));
     let published_at = Instant::now();
@@ -436,14 +449,14 @@
         gateway.engines_used_since(published_at),
         all[..3].iter().copied().collect()
     );
-    // The log is unavailable for a while, then sends all missed events at once.
+    // The log is unavailable for a while, then sends all missed events together.
     gateway.test_bed.log.close_streams();
     gateway.publish(false, &lines(half));
     gateway.publish(true, &lines(&all));
     assert!(gateway.members().len() >= SUBSET_SIZE);
 }
 
-/// Queries of a key are started one at a time, in the order of admission, while members change.
+/// The queries of a key are started one at a time, in the order of admission, while the members of the subset change.
 #[test]
 fn order_per_key_is_kept_while_members_change() {
     const KEYS: usize = 4;
@@ -460,7 +473,7 @@
                 &format!("INSERT key-{key} {n} /* runs 40 */"),
             ));
         }
-        // Admitted in this order.
+        // Time for the gateway to admit the queries in this order.
         sleep(ms(60));
         let at = |n: usize| n * 7 % ENGINES;
         let changed = [
@@ -499,18 +512,19 @@
         assert_eq!(
             ids.len(),
             started.len(),
-            "key {key}: no non-idempotent query is started twice"
+            "key {key}: number of attempts, one for each non-idempotent query"
         );
     }
     assert!(
         succeeded >= KEYS * QUERIES_PER_KEY / 2,
-        "{succeeded} succeeded"
+        "only {succeeded} queries succeeded"
     );
 }
 
-/// Engines named by id may be in no subset; zones, kinds and unions of them have a minimum number of members.
+/// A pool of engines named by id may have no member in the subset, so such a plan is refused. Zones, kinds and unions
+/// of them have a minimum number of members.
 #[test]
-fn plan_with_a_subset_has_pools_of_zones_and_kinds() {
+fn plan_with_a_subset_may_name_only_pools_of_zones_and_kinds() {
     let test_bed = TestBed::start_with(|config| {
         config["subset"] = json!({"size": SUBSET_SIZE});
         config["settings"]["kinds"] = json!(["std", "large"]);
@@ -553,7 +567,7 @@
 }
 
 #[test]
-fn sighup_keeps_the_subset_and_sigterm_ends_well() {
+fn sighup_keeps_the_subset_and_sigterm_exits_successfully() {
     let mut gateway = SubsetGateway::start();
     let members = gateway.members();
     let file = gateway.log_path.with_extension("json");
@@ -561,7 +575,7 @@
     config["subset"]["size"] = json!(2 * SUBSET_SIZE);
     std::fs::write(&file, config.to_string()).unwrap();
     gateway.test_bed.signal("HUP");
-    wait_until("it is read again", || {
+    wait_until("the configuration is reloaded", || {
         gateway.log_text().contains("configuration reloaded")
     });
     assert!(
@@ -575,7 +589,7 @@
     config["subset"]["size"] = json!(0);
     std::fs::write(&file, config.to_string()).unwrap();
     gateway.test_bed.signal("HUP");
-    wait_until("it is refused", || {
+    wait_until("the configuration is refused", || {
         gateway.log_text().contains("configuration not reloaded")
     });
     assert!(
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -1,5 +1,6 @@
-//! The watch of the change log under concurrent events: engines or idle clients that use all descriptors, streams that are
-//! silent or nearly so, SIGHUP at each step, numbers that are late, repeated or too high. The tests write the log's bytes.
+//! The watch of the change log while other events happen: engines or idle clients use all descriptors, streams are
+//! silent or nearly so, SIGHUP arrives at each step, and event numbers are late, repeated or too high. The tests write
+//! every byte that the log sends.
 
 mod helper;
 
@@ -17,15 +18,16 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Far longer than any expected connection takes.
+/// Time limit for a connection to the log, far more than any expected one takes.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(8);
-/// Latest time without a line after which another connection is opened, and the tolerance for a busy machine.
+/// Time without a complete line after which the gateway opens another connection.
 const PROGRESS_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Tolerance for a busy machine.
 const TOLERANCE: Duration = Duration::from_millis(400);
-/// Longest wait before a new connection at the helper's `dial-timeout` of 250 ms.
+/// Longest wait before a new connection, with the test bed's `dial-timeout` of 250 ms.
 const LONGEST_BACKOFF: Duration = Duration::from_millis(500);
 
-/// A change log whose every byte the test writes.
+/// A fake change log of which the test writes every byte.
 struct ScriptedChangeLog {
     listener: TcpListener,
     address: SocketAddr,
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Accepts the next connection within a time and reads its request.
+    /// Accepts the next connection and reads its request, or returns `None` when the time has passed.
     fn accept_within(&self, within: Duration) -> Option<WatchConnection> {
         let until = Instant::now() + within;
         loop {
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Accepts the next connection and sends a response head and a comment.
+    /// Accepts the next connection and sends the response head and a comment.
     fn accept_and_answer(&self) -> WatchConnection {
         let watch = self
             .accept_within(CONNECTION_TIMEOUT)
@@ -71,10 +73,10 @@
 const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 const COMMENT: &str = ":\n\n";
 
-/// One connection to the log.
+/// A connection to the log whose request has been read.
 struct WatchConnection {
     stream: TcpStream,
-    /// The `Last-Event-ID` that it was opened with.
+    /// The `Last-Event-ID` of the request.
     last_event_id: u64,
     accepted_at: Instant,
 }
@@ -84,7 +86,8 @@
         let accepted_at = Instant::now();
         stream.set_nonblocking(false).unwrap();
         stream.set_nodelay(true).unwrap();
-        let call = read_message(&mut BufReader::new(stream.try_clone().unwrap())).expect("a call");
+        let call = read_message(&mut BufReader::new(stream.try_clone().unwrap()))
+            .expect("a request should arrive");
         assert_eq!(call.start_line, "GET /changes HTTP/1.1");
         WatchConnection {
             stream,
@@ -103,12 +106,12 @@
         self.write(&format!("id: {}\ndata: {event}\n\n", event["seq"]));
     }
 
-    /// Whether the gateway closes it within a time; the gateway may send nothing on it.
+    /// Returns whether the gateway closes the connection within a time. Panics where the gateway sends anything on it.
     fn is_closed(&self, within: Duration) -> bool {
         self.stream.set_read_timeout(Some(within)).unwrap();
         match (&self.stream).read(&mut [0; 64]) {
             Ok(0) => true,
-            Ok(n) => panic!("{n} bytes received"),
+            Ok(n) => panic!("the gateway sent {n} bytes after its request"),
             Err(e) => !matches!(
                 e.kind(),
                 std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
@@ -132,6 +135,7 @@
     }
 }
 
+/// Sends comments on a connection until it is dropped.
 struct Keepalives(Arc<AtomicBool>);
 
 impl Drop for Keepalives {
@@ -140,6 +144,7 @@
     }
 }
 
+/// Starts a test bed that follows this change log, without health checks.
 fn start_watching(log: SocketAddr, change_more: impl Fn(&mut Value)) -> TestBed {
     TestBed::start_with(|config| {
         config["changelog"] = json!(log.to_string());
@@ -148,7 +153,7 @@
     })
 }
 
-/// A full endpoint list with this engine alone.
+/// Returns a full endpoint list with this engine alone.
 fn list_of_one(number: u64, engine: &FakeEngine) -> Value {
     full_list_event(
         number,
@@ -156,21 +161,23 @@
     )
 }
 
-/// Whether the next query reaches this engine.
+/// Returns whether the next query succeeds at this engine.
 fn next_query_reaches(test_bed: &TestBed, engine: &FakeEngine) -> bool {
     let before = engine.requests("POST");
     test_bed.query("report", "SELECT 1").succeeded() && engine.requests("POST") > before
 }
 
+/// Waits until queries reach the engine of the list that was sent.
 fn wait_until_in_force(test_bed: &TestBed, engine: &FakeEngine) {
-    wait_until("the sent list is in force", || {
+    wait_until("the list sent is in force", || {
         next_query_reaches(test_bed, engine)
     });
 }
 
-// Use of descriptors.
+// Descriptors.
 
-/// Event A: hanging engines use all descriptors of engine connections. Event B: the log is back and lists them as draining.
+/// The log is lost and hanging engines use all descriptors for engine connections. Then the log is back and lists these
+/// engines as draining.
 #[test]
 fn engines_that_use_all_their_descriptors_do_not_block_the_watch() {
     const SOCKETS: usize = 64;
@@ -214,29 +221,32 @@
     wait_until("all descriptors of engine connections are in use", || {
         hanging.requests("POST") >= all
     });
-    assert!(began.elapsed() < ms(1500), "the queries are still active");
+    assert!(
+        began.elapsed() < ms(1500),
+        "the queries should still be active"
+    );
     let log = ScriptedChangeLog::at(address);
-    let watch = log
-        .accept_within(LONGEST_BACKOFF + TOLERANCE)
-        .expect("the watch connects while engine connections use their whole budget");
+    let watch = log.accept_within(LONGEST_BACKOFF + TOLERANCE).expect(
+        "the gateway should connect to the log although engine connections use their whole budget",
+    );
     watch.write(HEAD);
     let mut endpoints = lines("DRAINING");
     endpoints.push(endpoint("s-other", other.address, "SERVING"));
     watch.send_event(&list_change_event(1, &endpoints));
     let _keepalives = watch.send_keepalives();
     for stream in streams {
-        read_message(&mut BufReader::new(stream)).expect("an answer");
+        read_message(&mut BufReader::new(stream)).expect("an answer should arrive");
     }
     let before = hanging.requests("POST");
     wait_until_in_force(&test_bed, &other);
     assert_eq!(
         hanging.requests("POST"),
         before,
-        "no attempt at draining engines"
+        "number of attempts at the draining engines"
     );
 }
 
-/// Event A: the log is down, and idle clients use all client descriptors. Event B: the log is back.
+/// The log is down and idle clients use all descriptors for clients. Then the log is back.
 #[test]
 fn idle_clients_that_use_all_descriptors_block_neither_queries_nor_the_watch() {
     const SOCKETS: usize = 64;
@@ -266,10 +276,11 @@
     let began = Instant::now();
     let idle = |n: usize| {
         let stream = test_bed.open();
-        // Half of them are idle after an answer, half send nothing.
+        // Half of the clients are idle after an answer, the others send nothing.
         if n < SOCKETS {
             send_request(&stream, "GET /healthz", "", "");
-            read_message(&mut BufReader::new(stream.try_clone().unwrap())).expect("an answer");
+            read_message(&mut BufReader::new(stream.try_clone().unwrap()))
+                .expect("an answer should arrive");
         }
         stream
     };
@@ -277,16 +288,19 @@
     for _ in 0..5 {
         assert!(
             test_bed.query("report", "SELECT 1").succeeded(),
-            "new clients are served without the log"
+            "a new client should be served while the log is down"
         );
     }
-    // Long before idle connections are closed.
+    // The queries were served long before the gateway closes idle connections.
     let served = began.elapsed();
-    assert!(served < ms(1900), "served after {served:?}");
+    assert!(
+        served < ms(1900),
+        "the queries were served only after {served:?}"
+    );
     let log = ScriptedChangeLog::at(address);
     let watch = log
         .accept_within(LONGEST_BACKOFF + TOLERANCE)
-        .expect("the watch connects beside idle clients");
+        .expect("the gateway should connect to the log beside idle clients");
     watch.write(HEAD);
     watch.send_event(&list_of_one(1, &other));
     let _keepalives = watch.send_keepalives();
@@ -311,11 +325,11 @@
     });
     let second = log
         .accept_within(PROGRESS_TIMEOUT + LONGEST_BACKOFF + TOLERANCE)
-        .expect("a connection in place of a trickling one");
+        .expect("the gateway should open another connection beside a trickling one");
     let after = second.accepted_at - started_at;
     assert!(
         after > ms(2000),
-        "after {after:?}: one late comment is not silence"
+        "another connection after {after:?}, although one late comment is not silence"
     );
     on.store(false, Ordering::Relaxed);
     second.write(HEAD);
@@ -328,20 +342,25 @@
 fn response_head_does_not_keep_a_stream_alive() {
     let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
     let test_bed = start_watching(log.address, |_| {});
-    let first = log.accept_within(CONNECTION_TIMEOUT).expect("a connection");
+    let first = log
+        .accept_within(CONNECTION_TIMEOUT)
+        .expect("a connection should arrive");
     sleep(ms(2000));
     first.write(HEAD);
     let second = log
         .accept_within(PROGRESS_TIMEOUT + LONGEST_BACKOFF + TOLERANCE - ms(2000))
-        .expect("a connection in place of a silent one");
-    assert_eq!(second.last_event_id, 0, "from the last number applied");
+        .expect("the gateway should open another connection beside a silent one");
+    assert_eq!(
+        second.last_event_id, 0,
+        "the number of the event applied last"
+    );
     second.write(HEAD);
     second.send_event(&list_of_one(1, &other));
     let _keepalives = second.send_keepalives();
     wait_until_in_force(&test_bed, &other);
 }
 
-/// Each part may take nearly as long as the progress timeout; the event counts once it is complete.
+/// An event of 3 MiB arrives in parts of 64 KiB and is applied once it is complete.
 #[test]
 fn large_event_in_many_parts_is_received_complete() {
     const MEGABYTES: usize = 3;
@@ -366,12 +385,12 @@
     );
     assert!(
         log.accept_within(Duration::ZERO).is_none(),
-        "over the first connection"
+        "the event should need no second connection"
     );
 }
 
-/// The list is published right after the first connection's last line; the second connection falls silent as late as it can,
-/// after its head. The `dial-timeout` is so long that the backoff cannot be the cause.
+/// The list is published right after the last line of the first connection. The second connection sends its head as
+/// late as it can and then nothing. The `dial-timeout` is so long that the backoff cannot cause a further connection.
 #[test]
 fn list_is_applied_within_seven_seconds_despite_two_silent_connections() {
     let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
@@ -381,79 +400,84 @@
     let first = log.accept_and_answer();
     sleep(ms(300));
     first.write(COMMENT);
-    let endpoints = Instant::now();
+    let published_at = Instant::now();
     let second = log
         .accept_within(CONNECTION_TIMEOUT)
-        .expect("a second connection");
+        .expect("a second connection should arrive");
     sleep(ms(2000));
     second.write(HEAD);
     let third = log.accept_and_answer();
     third.send_event(&list_of_one(1, &other));
     wait_until_in_force(&test_bed, &other);
-    let took = endpoints.elapsed();
+    let took = published_at.elapsed();
     assert!(took < ms(7000), "applied {took:?} after it was published");
 }
 
-/// Each silent connection gets another beside it, none is closed for that, and all others are closed once one brings an event.
+/// Another connection is opened beside each silent one, and the silent one stays open. Once a connection delivers an
+/// event, the others are closed.
 #[test]
 fn each_silent_connection_gets_another_beside_it() {
     let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
     let began = Instant::now();
     let test_bed = start_watching(log.address, |_| {});
-    // Accepted and never answered, then answered by a head alone.
-    let first = log.accept_within(CONNECTION_TIMEOUT).expect("a connection");
+    // The first connection is accepted and never answered; the second one gets the response head alone.
+    let first = log
+        .accept_within(CONNECTION_TIMEOUT)
+        .expect("a connection should arrive");
     let second = log
         .accept_within(PROGRESS_TIMEOUT + LONGEST_BACKOFF + TOLERANCE)
-        .expect("a second");
+        .expect("a second connection should arrive");
     second.write(HEAD);
     let third = log
         .accept_within(PROGRESS_TIMEOUT + LONGEST_BACKOFF + TOLERANCE)
-        .expect("a third");
+        .expect("a third connection should arrive");
     assert!(
         !first.is_closed(ms(50)) && !second.is_closed(ms(50)),
-        "a slow connection is not closed for a newer one"
+        "a slow connection was closed when another one was opened"
     );
     third.write(HEAD);
     third.send_event(&list_of_one(1, &other));
     let _keepalives = third.send_keepalives();
     assert!(
         first.is_closed(TOLERANCE),
-        "a connection that is not needed is closed"
+        "the first connection should be closed once another one delivers an event"
     );
     assert!(
         second.is_closed(TOLERANCE),
-        "a connection that is not needed is closed, though it is silent"
+        "the second connection should be closed once another one delivers an event"
     );
     wait_until_in_force(&test_bed, &other);
     let took = began.elapsed();
     assert!(took < ms(7000), "applied {took:?} after the start");
     assert!(
         log.accept_within(ms(500)).is_none(),
-        "no further connection is opened"
+        "the gateway opened a further connection"
     );
 }
 
-/// No silent connection is kept longer than the time within which a published list must apply.
+/// A silent connection is kept no longer than the time within which a published list has to apply.
 #[test]
 fn silent_connection_is_closed_after_seven_seconds() {
     let log = ScriptedChangeLog::start();
     let _test_bed = start_watching(log.address, |_| {});
-    let silent = log.accept_within(CONNECTION_TIMEOUT).expect("a connection");
+    let silent = log
+        .accept_within(CONNECTION_TIMEOUT)
+        .expect("a connection should arrive");
     let second = log.accept_and_answer();
     let _keepalives = second.send_keepalives();
-    // It was opened shortly before it was accepted here.
+    // The gateway opened the connection shortly before the log accepted it.
     let allowed = ms(7000) - TOLERANCE;
     assert!(
         !silent.is_closed(allowed.saturating_sub(silent.accepted_at.elapsed())),
-        "it is open until its time limit"
+        "the silent connection was closed before its time limit"
     );
     assert!(
         silent.is_closed((allowed + TOLERANCE * 2).saturating_sub(silent.accepted_at.elapsed())),
-        "it is closed at its time limit"
+        "the silent connection is open after its time limit"
     );
     assert!(
         !second.is_closed(ms(100)) && log.accept_within(ms(100)).is_none(),
-        "the live connection stays open"
+        "the live connection should be the only one and stay open"
     );
 }
 
@@ -461,7 +485,10 @@
 fn log_that_closes_at_once_is_reconnected_to_at_most_once_per_backoff() {
     let log = ScriptedChangeLog::start();
     let _test_bed = start_watching(log.address, |_| {});
-    drop(log.accept_within(CONNECTION_TIMEOUT).expect("a connection"));
+    drop(
+        log.accept_within(CONNECTION_TIMEOUT)
+            .expect("a connection should arrive"),
+    );
     let began = Instant::now();
     let mut connections = 0;
     while let Some(watch) = log.accept_within(ms(3000).saturating_sub(began.elapsed())) {
@@ -475,7 +502,7 @@
     );
 }
 
-/// The gateway logs each loss of the change log, also after a stream that ended in an orderly way.
+/// The gateway logs each loss of the change log once, also after a stream that the log ended in an orderly way.
 #[test]
 fn loss_of_the_log_is_logged_again_after_an_orderly_end() {
     let path = write_config(&Value::Null).with_extension("log");
@@ -497,14 +524,14 @@
             )
         },
     );
-    wait_until("lost at the start", || losses_logged() == 1);
+    wait_until("the loss at the start is logged", || losses_logged() == 1);
     let log = ScriptedChangeLog::at(address);
     let watch = log.accept_and_answer();
     drop(log);
     drop(watch);
-    wait_until("lost again", || losses_logged() == 2);
+    wait_until("the second loss is logged", || losses_logged() == 2);
     sleep(LONGEST_BACKOFF * 2);
-    assert_eq!(losses_logged(), 2, "and logged once");
+    assert_eq!(losses_logged(), 2, "number of losses logged");
 }
 
 // SIGHUP at each step of the watch.
@@ -533,8 +560,9 @@
         ReloadableGateway { test_bed, path }
     }
 
+    /// Replaces the configuration file and sends SIGHUP.
     fn reload(&self, text: &str) {
-        // Renamed into place: the gateway may be reading the previous file.
+        // The file is renamed into place, as the gateway may be reading the previous one.
         let new: &Path = &self.path.with_extension("new");
         std::fs::write(new, text)
             .and_then(|()| std::fs::rename(new, &self.path))
@@ -542,21 +570,28 @@
         self.test_bed.signal("HUP");
     }
 
+    /// Reloads the configuration with another change log.
     fn change_log_to(&self, log: &ScriptedChangeLog) {
         let mut config = self.test_bed.config.clone();
         config["changelog"] = json!(log.address.to_string());
         self.reload(&config.to_string());
     }
 
-    /// Asserts that a new log is followed at once, from the last number applied, and that its list is applied.
+    /// Asserts that the gateway connects at once to a new log, asks for the events after `last_event_id`, and applies
+    /// the list that the new log sends. Returns the connection.
     fn assert_follows(
         &self,
         log: &ScriptedChangeLog,
         last_event_id: u64,
         expected: &FakeEngine,
     ) -> WatchConnection {
-        let watch = log.accept_within(TOLERANCE).expect("the new log at once");
-        assert_eq!(watch.last_event_id, last_event_id, "the numbers continue");
+        let watch = log
+            .accept_within(TOLERANCE)
+            .expect("the gateway should connect to the new log at once");
+        assert_eq!(
+            watch.last_event_id, last_event_id,
+            "the number of the event applied last"
+        );
         watch.write(HEAD);
         watch.send_event(&list_of_one(last_event_id + 1, expected));
         let keepalives = watch.send_keepalives();
@@ -576,16 +611,16 @@
     let gateway = ReloadableGateway::start(old.address, |_| {});
     let connecting = old
         .accept_within(CONNECTION_TIMEOUT)
-        .expect("a connection that is not answered");
+        .expect("the gateway should connect to the log");
     gateway.change_log_to(&new);
     gateway.assert_follows(&new, 0, &other);
     assert!(
         connecting.is_closed(TOLERANCE),
-        "the connection to the old log is closed"
+        "the connection to the old log should be closed"
     );
 }
 
-/// The backoff is the longest possible, and the new log is followed within a part of it.
+/// The backoff is the longest possible one, and the gateway follows the new log long before the backoff ends.
 #[test]
 fn sighup_during_backoff_is_followed_at_once() {
     let (old, new, other) = (
@@ -606,11 +641,11 @@
     let after = watch.accepted_at - paused;
     assert!(
         after < ms(450),
-        "{after:?} into a backoff of 500 ms or more"
+        "connected only {after:?} into a backoff of 500 ms or more"
     );
     assert!(
         old.accept_within(Duration::ZERO).is_none(),
-        "the backoff was running"
+        "the gateway connected to the old log, so no backoff was running"
     );
 }
 
@@ -628,23 +663,29 @@
     wait_until_in_force(&gateway.test_bed, &other);
     sleep(ms(1500));
     gateway.change_log_to(&new);
-    let newest = new.accept_within(TOLERANCE).expect("the new log at once");
+    let newest = new
+        .accept_within(TOLERANCE)
+        .expect("the gateway should connect to the new log at once");
     assert_eq!(newest.last_event_id, 1);
     newest.write(HEAD);
-    // The gateway may have closed the old connection by then; events on it are not applied.
+    // The gateway may have closed the old connection. It does not apply events that arrive on it.
     let stale_event = list_of_one(2, &stale);
     let _ = (&watch.stream).write_all(format!("id: 2\ndata: {stale_event}\n\n").as_bytes());
     let _keepalives = newest.send_keepalives();
     for _ in 0..5 {
         assert!(
             next_query_reaches(&gateway.test_bed, &other),
-            "the last list stays in force"
+            "the list applied last should stay in force"
         );
     }
     let newer = FakeEngine::start();
     newest.send_event(&list_of_one(2, &newer));
     wait_until_in_force(&gateway.test_bed, &newer);
-    assert_eq!(stale.requests("POST"), 0, "nothing of the old stream");
+    assert_eq!(
+        stale.requests("POST"),
+        0,
+        "number of attempts at an engine that only the old log names"
+    );
 }
 
 #[test]
@@ -670,9 +711,9 @@
     let _keepalives = newest.send_keepalives();
     assert!(
         watch.is_closed(TOLERANCE),
-        "the connection to the first log is closed"
+        "the connection to the first log should be closed"
     );
-    // The gateway may have connected to the log between the two, and closes that connection.
+    // The gateway may have connected to the log in the middle and closed that connection again.
     if let Some(left) = between.accept_within(Duration::ZERO) {
         let _ = (&left.stream)
             .write_all(format!("{HEAD}id: 3\ndata: {}\n\n", list_of_one(3, &stale)).as_bytes());
@@ -680,16 +721,16 @@
     gateway.reload("{");
     assert!(
         (0..5).all(|_| next_query_reaches(&gateway.test_bed, &other)),
-        "a faulty file changes nothing"
+        "the list should stay in force after a faulty file"
     );
     assert!(
         new.accept_within(ms(100)).is_none() && !newest.is_closed(ms(100)),
-        "and opens or closes no connection"
+        "a faulty file should open or close no connection"
     );
     assert_eq!(stale.requests("POST"), 0);
 }
 
-/// A reload for another reason, such as a plan, opens no new connection to the log.
+/// A reload for another reason, such as a new plan, opens no new connection to the log.
 #[test]
 fn sighup_with_the_same_log_address_keeps_the_stream() {
     let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
@@ -699,13 +740,13 @@
     gateway.change_log_to(&log);
     assert!(
         log.accept_within(TOLERANCE).is_none(),
-        "no other connection"
+        "the gateway opened another connection to the same log"
     );
     watch.send_event(&list_of_one(1, &other));
     wait_until_in_force(&gateway.test_bed, &other);
 }
 
-// Numbers.
+// Event numbers.
 
 #[test]
 fn older_list_never_replaces_a_newer_one() {
@@ -723,7 +764,8 @@
     watch.send_event(&list_of_one(2, &newer));
     wait_until_in_force(&test_bed, &newer);
     let before = older.requests("POST");
-    // Late, repeated, and a full list with a lower number; then as the first events of another connection.
+    // These events are late, repeated, or full lists with a lower number. Another connection sends them as its first
+    // events.
     let late = [
         list_change_event(1, &[endpoint("s-a", older.address, "SERVING")]),
         full_list_event(2, &[endpoint("s-a", older.address, "SERVING")]),
@@ -734,49 +776,56 @@
     for _ in 0..10 {
         assert!(
             next_query_reaches(&test_bed, &newer),
-            "the newest list stays in force"
+            "the newest list should stay in force"
         );
     }
     drop(watch);
     let watch = log.accept_and_answer();
-    assert_eq!(watch.last_event_id, 2, "the number never goes back");
+    assert_eq!(
+        watch.last_event_id, 2,
+        "the number of the event applied last"
+    );
     late.iter().for_each(|event| watch.send_event(event));
     let _keepalives = watch.send_keepalives();
     for _ in 0..10 {
         assert!(
             next_query_reaches(&test_bed, &newer),
-            "the newest list stays in force"
+            "the newest list should stay in force"
         );
     }
     assert_eq!(
         older.requests("POST"),
         before,
-        "no attempt at an engine that the newest list does not name"
+        "number of attempts at an engine that the newest list does not name"
     );
     watch.send_event(&list_of_one(3, &older));
     wait_until_in_force(&test_bed, &older);
 }
 
-/// Accepting its number would lose the events before it: the log continues from the requested number.
+/// If the gateway accepted the number of the corrupted event, it would lose the events before it: the log continues
+/// from the requested number.
 #[test]
-fn corrupted_event_with_too_high_a_number_skips_none() {
+fn corrupted_event_with_too_high_a_number_skips_no_event() {
     let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
     let test_bed = start_watching(log.address, |_| {});
     for _ in 0..3 {
         let watch = log.accept_and_answer();
-        assert_eq!(watch.last_event_id, 0, "nothing was applied");
+        assert_eq!(watch.last_event_id, 0, "no event was applied");
         watch.write("id: 9\ndata: {\"se\n\n");
-        assert!(watch.is_closed(TOLERANCE), "and it is requested again");
+        assert!(
+            watch.is_closed(TOLERANCE),
+            "the gateway should close the connection and request the event again"
+        );
     }
     let watch = log.accept_and_answer();
-    assert_eq!(watch.last_event_id, 0, "nothing was applied");
+    assert_eq!(watch.last_event_id, 0, "no event was applied");
     watch.send_event(&list_of_one(1, &other));
     let _keepalives = watch.send_keepalives();
     wait_until_in_force(&test_bed, &other);
 }
 
 #[test]
-fn event_without_a_list_makes_no_gateway_healthy() {
+fn gateway_stays_unhealthy_after_events_without_a_list() {
     let log = ScriptedChangeLog::start();
     let (engine, unused) = (FakeEngine::start(), FakeChangeLog::start());
     let mut config = config(engine.address, log.address);
@@ -793,7 +842,8 @@
     let _keepalives = watch.send_keepalives();
     watch.send_event(&json!({"seq": 1}));
     watch.send_event(&json!({"seq": 3}));
-    // The third arrived where the second was due: the first has been applied by then.
+    // The event with number 3 arrived where number 2 was due, so the gateway reconnects. It has applied the first
+    // event.
     let watch = log.accept_and_answer();
     assert_eq!(watch.last_event_id, 1);
     let health = || {
@@ -807,7 +857,7 @@
     test_bed.wait_until_healthy();
 }
 
-/// A slow log: each connection gets its first line only after the progress timeout.
+/// Each connection to the log gets its first line only after the progress timeout.
 #[test]
 fn list_from_a_slow_log_is_applied_within_seven_seconds() {
     let (log, engine) = (ScriptedChangeLog::start(), FakeEngine::start());
@@ -834,7 +884,7 @@
         spawn(move || {
             let watch = WatchConnection::of(stream);
             sleep(ms(3200));
-            // The gateway may have closed it by now.
+            // The gateway may have closed the connection already.
             let _ = (&watch.stream).write_all(format!("{HEAD}id: 1\ndata: {list}\n\n").as_bytes());
             sleep(ms(9000));
         });
@@ -848,7 +898,7 @@
     while !healthy() {
         assert!(
             began.elapsed() < ms(7000),
-            "no list from the log at {address} is applied"
+            "no list from the log at {address} is applied within 7 s"
         );
         sleep(ms(20));
     }
--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -1,11 +1,12 @@
-//! The gateway's external interface, written out literally: an accidental change of a name or format fails here.
+//! The gateway's external interface, written out literally, so that an accidental change of a name or a format fails
+//! here.
 //!
-//! Pinned elsewhere, and not again: every key of the configuration file with its refusal (bad_input.rs), of the
-//! settings (crates/settings/tests/keys.rs), of an event of the change log (src/discovery/event/tests.rs and
-//! bad_input.rs); how plans are refused and what they refuse (plan.rs); exit codes of the commands on plans
-//! (plan.rs); statuses of a query's failures and of invalid requests (sockets.rs), of long bodies (bodies.rs) and of repeated
-//! requests (repeated_calls.rs); records of the journal and pieces of the spool (crates/ledger/tests/stored_records.rs,
-//! crates/bodies/tests/stored_spool.rs); frames of the bench (crates/bench-adapter).
+//! Other tests cover the rest: every key of the configuration file with its refusal (bad_input.rs), of the settings
+//! (crates/settings/tests/keys.rs), and of an event of the change log (src/discovery/event/tests.rs and bad_input.rs);
+//! the refusal of plans, the rejections by plans, and the exit codes of the plan commands (plan.rs); the statuses of
+//! failed queries and invalid requests (sockets.rs), of long bodies (bodies.rs) and of repeated requests
+//! (repeated_calls.rs); the records of the journal and the slots of the spool (crates/ledger/tests/stored_records.rs,
+//! crates/bodies/tests/stored_spool.rs); the frames of the benchmark (crates/bench-adapter).
 
 mod helper;
 
@@ -19,7 +20,7 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// Reads one message byte for byte, with a body of its `Content-Length`.
+/// Reads one message byte for byte, with the body that its `Content-Length` announces.
 fn raw_message(reader: &mut impl BufRead) -> Option<String> {
     let (mut text, mut length) = (String::new(), 0);
     loop {
@@ -41,22 +42,24 @@
     Some(text + &String::from_utf8(body).ok()?)
 }
 
-/// The gateway's response to these bytes, without the field `date`.
+/// Sends these bytes on a new connection and returns the response without the field `date`.
 fn answer_to(address: SocketAddr, text: &str) -> String {
     let stream = TcpStream::connect(address).unwrap();
     (&stream).write_all(text.as_bytes()).unwrap();
     answer_on(&stream)
 }
 
+/// Reads a response and returns it without the field `date`.
 fn answer_on(stream: &TcpStream) -> String {
     stream
         .set_read_timeout(Some(Duration::from_secs(8)))
         .unwrap();
-    let answer = raw_message(&mut BufReader::new(stream)).expect("an answer");
+    let answer = raw_message(&mut BufReader::new(stream)).expect("an answer should arrive");
     let lines = answer.split_inclusive('\n');
     lines.filter(|line| !line.starts_with("date: ")).collect()
 }
 
+/// Formats a request for a query, with more header lines.
 fn post(id: &str, class: &str, more: &str, statement: &str) -> String {
     format!(
         "POST /v1/{class} HTTP/1.1\r\nHost: x\r\nX-Job-Id: {id}\r\nX-Allow-Ms: 2500\r\nX-Team: acme\r\n{more}\
@@ -65,7 +68,7 @@
     )
 }
 
-/// A short answer of a gateway.
+/// Formats the expected answer with a JSON body.
 fn short_answer(status: &str, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\ncontent-type: application/json\r\n{headers}content-length: {}\r\n\r\n{body}",
@@ -74,7 +77,7 @@
 }
 
 #[test]
-fn responses_to_requests_without_a_query() {
+fn responses_to_requests_without_a_query_match_byte_for_byte() {
     let test_bed = TestBed::start();
     let good = || post(&new_id(), "report", "", "SELECT 1");
     let with = |more: &str| post(&new_id(), "report", more, "SELECT 1");
@@ -142,7 +145,7 @@
 }
 
 #[test]
-fn responses_to_queries() {
+fn responses_to_queries_match_byte_for_byte() {
     let test_bed = TestBed::start();
     let id = new_id();
     let rows = r#"{"data":[["a","b\"\\","\u0001 é"],["c","","漢"]]}"#;
@@ -201,7 +204,7 @@
     (&stream)
         .write_all(post(&id, "report", "", "SELECT 1 /* slow */").as_bytes())
         .unwrap();
-    wait_until("the start", || {
+    wait_until("the engine receives the start", || {
         test_bed.engine.started.lock().unwrap().contains_key(&id)
     });
     let cancel_request = post(&id, "report", "", "").replace("POST", "DELETE");
@@ -234,7 +237,7 @@
 }
 ";
 
-/// A gateway with a plan and a configuration.
+/// Starts a test bed with a plan. Returns it with the directory of the plan, which the caller removes.
 fn gateway_with_plan(folder: &str, text: &str) -> (TestBed, PathBuf) {
     let name = format!("{folder}-{}", std::process::id());
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -253,7 +256,7 @@
 }
 
 #[test]
-fn responses_under_a_plan() {
+fn responses_under_a_plan_match_byte_for_byte() {
     let (test_bed, folder) = gateway_with_plan("answers-plan", PLAN);
     let too_long = "x".repeat(101);
     assert_eq!(
@@ -336,7 +339,7 @@
     }
 }
 
-/// A server that records every request and answers by a function; `None` closes the connection.
+/// A server that records every request and answers it by a function; `None` closes the connection.
 #[derive(Clone)]
 struct Recorder {
     address: SocketAddr,
@@ -367,7 +370,7 @@
         recorder
     }
 
-    /// Waits for the first request with this prefix.
+    /// Waits for a request with this prefix and returns the first one.
     fn wait_for_first(&self, start: &str) -> String {
         let found = || {
             let calls = self.requests.lock().unwrap();
@@ -377,13 +380,14 @@
         found().unwrap()
     }
 
+    /// Returns the number of requests with this prefix.
     fn count(&self, start: &str) -> usize {
         let calls = self.requests.lock().unwrap();
         calls.iter().filter(|call| call.starts_with(start)).count()
     }
 }
 
-/// An engine that answers requests by a script, and health checks with a load report.
+/// Starts an engine that answers health checks with a load report and other requests by a script.
 fn scripted_engine(
     stats: &'static str,
     script: impl Fn(&str) -> String + Send + Sync + 'static,
@@ -398,7 +402,7 @@
     })
 }
 
-/// A gateway with these engines and a query class of each idempotency.
+/// Starts a test bed with these engines and a query class of each idempotency.
 fn gateway_with_engines(engines: &[&Recorder]) -> TestBed {
     let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
     TestBed::start_with(|config| {
@@ -416,7 +420,7 @@
     })
 }
 
-/// Replaces the response timeout of a start, which varies.
+/// Replaces the response timeout that a start forwards, which varies, by N.
 fn mask_response_timeout(call: &str) -> String {
     let (before, rest) = call.split_once("x-patience: ").expect("x-patience");
     let (value, after) = rest.split_once("\r\n").unwrap();
@@ -426,7 +430,7 @@
 }
 
 #[test]
-fn requests_to_engines() {
+fn requests_to_engines_match_byte_for_byte() {
     let engine = scripted_engine("queue:0;util:0.1", |call| {
         let method = call.split(' ').next().unwrap();
         let first_poll = call.starts_with("GET /c/") && call.contains("/0 HTTP");
@@ -495,12 +499,12 @@
 }
 
 #[test]
-fn health_check_of_an_engine() {
+fn health_check_request_matches_byte_for_byte() {
     let newcomer = scripted_engine("queue:0;util:0.1", |_| http_response("500 Oops", "", ""));
     let test_bed = TestBed::start_with(|config| {
         config["subset"] = json!({"size": 4, "class_floor": 0, "reserve": 0});
     });
-    // An engine is checked before it joins a subset.
+    // The gateway checks an engine before the engine joins the subset.
     let listed = endpoint("s-2", newcomer.address, "SERVING");
     test_bed.log.publish(list_change_event(1, &[listed]));
     let host = format!("host: {}\r\n", newcomer.address);
@@ -510,9 +514,9 @@
     );
 }
 
-/// Each response of an engine to a start, the number of starts, and the client's answer.
+/// For each response of an engine to a start: the number of starts and the client's answer.
 #[test]
-fn responses_of_engines() {
+fn engine_responses_lead_to_the_expected_starts_and_answers() {
     let engine = scripted_engine("queue:0;util:0.1", |call| {
         let (_, statement) = call.split_once("\r\n\r\n").unwrap();
         match (call.split(' ').next().unwrap(), statement) {
@@ -547,9 +551,9 @@
     }
 }
 
-/// The load report in an engine's responses: an engine that reports full load gets the smaller share.
+/// The load report is a header field of the engine's responses.
 #[test]
-fn load_reports_of_engines() {
+fn engine_that_reports_full_load_gets_the_smaller_share() {
     let with = |stats: &'static str| {
         Recorder::start(move |call| match call.starts_with("DELETE") {
             true => Some(http_response("204 No Content", "", "")),
@@ -574,12 +578,12 @@
     let (at_full, at_idle) = (full.count("POST"), idle.count("POST"));
     assert!(
         at_full + at_idle >= 40 && at_idle >= 3 * at_full,
-        "{at_full} and {at_idle}"
+        "{at_full} attempts at the engine with full load, {at_idle} at the idle one"
     );
 }
 
 #[test]
-fn request_to_the_change_log() {
+fn change_log_request_matches_byte_for_byte() {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
     let log = Recorder::start(move |_| Some(format!("{head}id: 8\ndata: {{\"seq\":8}}\n\n")));
     let test_bed =
@@ -593,7 +597,7 @@
 }
 
 #[test]
-fn commands_and_their_exit_codes() {
+fn commands_print_their_output_and_exit_with_their_codes() {
     let address = free_address();
     let good = write_config(&config(address, address));
     let good = good.to_str().unwrap();
@@ -648,6 +652,7 @@
     }
 }
 
+/// Returns the address at which a configuration file makes the gateway listen.
 fn config_address(file: &str) -> String {
     let text = std::fs::read_to_string(file).unwrap();
     let json: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -682,7 +687,7 @@
 ";
 
 #[test]
-fn names_of_the_environment() {
+fn environment_variables_are_read_under_their_names() {
     let address = free_address();
     let good = write_config(&config(address, address));
     let ended = |command: &mut Command| {
@@ -732,8 +737,8 @@
     assert!(!log("error").contains(" INFO "));
 }
 
-/// A journal written before the code was renamed (see crates/ledger/tests/stored_records.rs): queries recorded as finished or
-/// as sent are not sent again.
+/// The journal was written by an earlier version of the program (see crates/ledger/tests/stored_records.rs). Queries
+/// that it records as finished or as sent are not sent again.
 #[test]
 fn gateway_continues_with_a_stored_journal() {
     const STORED: &[u8] = include_bytes!("../../ledger/tests/fixtures/interrupted.once-only");
@@ -761,7 +766,7 @@
         assert_eq!(answer, failed, "{id}");
     }
     assert_eq!(test_bed.engine.requests("POST"), 0);
-    // The interrupted record was never written completely: its query was not sent.
+    // The write of the last record was interrupted, so the query of that record was never sent.
     assert!(test_bed
         .query_with_id("9b1f03aa5c7e2d04", "load", 2500, "INSERT 1")
         .succeeded());
