--- a/crates/gateway/tests/closing.rs
+++ b/crates/gateway/tests/closing.rs
@@ -141,8 +141,8 @@
         .succeeded());
 }
 
-/// The gateway never forwards a request that was written after it closed the connection, and no reset loses the answer
-/// before.
+/// The gateway never forwards a request that was written after it closed the connection, and the end of the connection
+/// is no reset, by which the answer before could be lost.
 #[test]
 fn request_written_after_its_connection_closed_is_not_forwarded() {
     let test_bed = TestBed::start();
--- a/crates/gateway/tests/helper/mod.rs
+++ b/crates/gateway/tests/helper/mod.rs
@@ -77,11 +77,12 @@
 
 /// An engine that follows the protocol unless a directive in the statement says otherwise.
 ///
-/// `full once` rejects the first start. `error` fails each call. `reset` closes the connection of a start. `late`
-/// delays the response to a start by 2 s. `silent` answers no call. `slow` and `very slow` run for 0.9 s and 2.3 s.
-/// `forgets` answers polls as if the attempt were unknown. `keeps delete` never completes, and delays the response to a
-/// cancellation by 5 s. `loses delete` closes the connection of the first cancellation. `empty`, `huge`, `no count`,
-/// `pages` and `lost page` choose the result. `spoilt` and a word choose a corruption of the first response.
+/// `full once` rejects the first start. `error` fails each start and poll, `silent` answers none of them. `reset`
+/// closes the connection of a start. `late` delays the response to a start by 2 s. `slow` and `very slow` run for 0.9 s
+/// and 2.3 s. `forgets` answers polls as if the attempt were unknown. `keeps delete` never completes, and delays the
+/// response to a cancellation by 5 s. `loses delete` closes the connection of the first cancellation. `empty`, `huge`,
+/// `no count`, `pages` and `lost page` choose the result. `spoilt` and one or two more words choose a corruption of the
+/// first response.
 #[derive(Clone)]
 pub struct FakeEngine {
     pub address: SocketAddr,
@@ -491,7 +492,7 @@
         test_bed
     }
 
-    /// Waits until `/healthz` answers 200; panics after 500 tries at intervals of 10 ms.
+    /// Waits until `/healthz` answers 200; panics after 500 tries, 10 ms apart.
     pub fn wait_until_healthy(&self) {
         for _ in 0..500 {
             if let Some(answer) = TcpStream::connect(self.address)
@@ -625,7 +626,7 @@
     read_message(&mut BufReader::new(stream))
 }
 
-/// Waits until a condition holds; panics with the name of the condition after 400 checks at intervals of 10 ms.
+/// Waits until a condition holds; panics with the name of the condition after 400 checks, 10 ms apart.
 pub fn wait_until(condition: &str, done: impl Fn() -> bool) {
     for _ in 0..400 {
         if done() {
--- a/crates/gateway/tests/helper/process.rs
+++ b/crates/gateway/tests/helper/process.rs
@@ -83,8 +83,7 @@
         FakeEngineProcess::at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    /// Starts a process at this address; panics where the address is still in use after 100 tries at intervals of 10
-    /// ms.
+    /// Starts a process at this address; panics where the address is still in use after 100 tries, 10 ms apart.
     pub fn at(address: SocketAddr) -> FakeEngineProcess {
         let listener = (0..100)
             .find_map(|_| TcpListener::bind(address).map_err(|_| sleep(ms(10))).ok())
--- a/crates/gateway/tests/late_start.rs
+++ b/crates/gateway/tests/late_start.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Accepts the next connection; panics after 1000 tries at intervals of 5 ms.
+/// Accepts the next connection; panics after 1000 tries, 5 ms apart.
 fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let try_accept = |_| listener.accept().map_err(|_| sleep(ms(5))).ok();
--- a/crates/gateway/tests/machine_faults.rs
+++ b/crates/gateway/tests/machine_faults.rs
@@ -207,11 +207,11 @@
     }
 }
 
-/// Guards against a shutdown that begins too late because the write by which the signal handler wakes the gateway was
-/// interrupted. The gateway also polls the signal flags, every 250 ms then and every 50 ms now, and its shutdown ends
-/// 100 ms before the earliest kill. In seed 111 of the soak test, with one in ten calls interrupted and deadlines of
-/// 500 ms, the gateway was still running at its kill 1.2 s after SIGTERM, in 1 of 6 runs, and in 6 of 10 of the version
-/// before. With every such write interrupted it exited 1.33 s after SIGTERM.
+/// Guards against a shutdown that begins too late. The write by which the signal handler wakes the gateway was
+/// interrupted, and the gateway polled the flags of the signals only every 250 ms, while its shutdown ends 100 ms
+/// before the earliest kill. In seed 111 of the soak test, with one in ten calls interrupted and deadlines of 500 ms,
+/// the gateway was still running at its kill 1.2 s after SIGTERM in 1 of 6 runs, and in 6 of 10 runs of the version
+/// before. With every such write interrupted it exited 1.33 s after SIGTERM. The flags are now polled every 50 ms.
 #[test]
 fn signal_with_a_lost_wakeup_is_handled_in_time() {
     const DEADLINE: u64 = 500;
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -1,6 +1,6 @@
 //! Order of the queries of a key where the outcome of an attempt is unknown. Fake engines record when each attempt ran
 //! while connections are reset, responses corrupted and addresses taken over. No two attempts of a key overlap, every
-//! query gets one answer in time, and no key is held longer than an attempt may run without polls.
+//! query gets one answer in time, and no key is held longer than its attempt may still run.
 
 mod helper;
 
@@ -395,8 +395,8 @@
     })
 }
 
-/// Engines in a partitioned zone keep running attempts that nobody polls while they have progress to report. Seen in
-/// the run split+mass of pomurje-estimates.
+/// Engines in a partitioned zone keep running attempts that cannot be polled while they have progress to report. Seen
+/// in the run split+mass of pomurje-estimates.
 #[test]
 fn progress_keeps_an_attempt_running_that_cannot_be_polled() {
     let engines = with_progress();
@@ -418,7 +418,7 @@
     assert!(one.join().unwrap().answer.is_some_and(|a| !a.succeeded()));
 }
 
-/// The gateway does not forward progress. It must still not take it for silence, after which it cancels an attempt.
+/// The gateway does not forward progress, but it must not take it for silence, after which it cancels an attempt.
 #[test]
 fn attempt_that_reports_progress_is_not_cancelled_as_lost() {
     let engines = with_progress();
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -142,7 +142,7 @@
     assert_eq!(test_bed.engine.requests("POST"), 1);
 }
 
-/// The engine repeats a result when it is polled. After a corrupted response the gateway polls once more before it
+/// The engine repeats a result when it is polled, and the gateway polls again after a corrupted response before it
 /// abandons the query.
 #[test]
 fn corrupted_response_is_polled_again_and_reaches_no_other_query() {
@@ -202,8 +202,8 @@
     assert_eq!(test_bed.engine.requests("POST"), 1);
 }
 
-/// Guards against sending the next query of a key after a connection reset while the engine, which had received the
-/// complete start, still ran it without polls.
+/// Guards against sending the next query of a key too early after a connection reset: the engine had received the
+/// complete start and still ran it, although nobody polled.
 #[test]
 fn attempt_of_unknown_outcome_is_cancelled_before_it_counts_as_ended() {
     let test_bed = TestBed::start();
@@ -373,7 +373,8 @@
     assert!(joined);
 }
 
-/// Guards against an answer of an active query for a client that uses its id with a statement of its own.
+/// Guards against giving the answer of an active query to a client that uses the query's id with a statement of its
+/// own.
 #[test]
 fn active_id_with_another_request_is_refused_and_does_not_affect_the_query() {
     let test_bed = TestBed::start();
--- a/crates/gateway/tests/world.rs
+++ b/crates/gateway/tests/world.rs
@@ -22,8 +22,8 @@
     }
 }
 
-/// A seed on which the gateway was paused for 2.4 s, so that its engine ended an attempt for lack of polls. The
-/// engine's 500 to the next poll was taken for a failure of the query, and the key was not paused.
+/// On this seed the gateway was paused for 2.4 s, so that its engine ended an attempt for lack of polls. The engine's
+/// 500 to the next poll was taken for a failure of the query, and the key was not paused.
 #[test]
 fn key_is_paused_after_an_attempt_that_ended_for_lack_of_polls() {
     assert_eq!(
--- a/crates/gateway/tests/world/exchange.rs
+++ b/crates/gateway/tests/world/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchanges of one attempt: its connection, its start, its polls, its cancellation.
+//! The exchanges of one attempt with its engine: connecting, starting, polling and cancelling.
 
 use super::figures::{CONNECT_TIMEOUT, DEADLINE_TOLERANCE, POLL_HOLD, TIME_STEP};
 use super::gateway::{AttemptPhase, Call, Reply};
--- a/crates/gateway/tests/world/judge.rs
+++ b/crates/gateway/tests/world/judge.rs
@@ -21,7 +21,7 @@
 }
 
 impl Simulation {
-    /// Adds a violation of a rule with the current time.
+    /// Records a violation of a rule, with the current time.
     pub(super) fn record_violation(&mut self, rule: Rule, description: String) {
         self.violations
             .push((rule, format!("at {} ms: {description}", self.now)));
