--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -629,10 +629,14 @@
             .output()
             .unwrap();
         let stderr_text = String::from_utf8(child.stderr).unwrap();
-        assert_eq!(child.status.code(), Some(1), "{stderr_text}");
+        assert_eq!(
+            child.status.code(),
+            Some(1),
+            "an unreadable file was not refused: {stderr_text}"
+        );
         assert!(
             stderr_text.contains(path.to_str().unwrap()) && stderr_text.contains("; name a file"),
-            "{stderr_text}"
+            "the error lacks the path or the remedy: {stderr_text}"
         );
     }
 }
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -330,7 +330,7 @@
     let log = std::fs::read_to_string(&gateway.log).unwrap();
     assert!(
         log.contains("class=\"report\" storage=Memory bodies=4 retry_reads=4 missing=0"),
-        "{log}"
+        "the log lacks the counts of bodies in memory: {log}"
     );
 }
 
@@ -341,11 +341,11 @@
     let gateway = BodyStorageGateway::start(FILES, "");
     let long = body("breaks", 100 * MIB);
     let answer = gateway.send("report", &long);
-    assert!(answer.succeeded(), "{answer:?}");
+    assert!(answer.succeeded(), "expected rows: {answer:?}");
     let received = gateway.engine.received();
     assert!(
         !received[0].is_complete && received[0].bytes >= 50 * MIB,
-        "{received:?}"
+        "expected an incomplete first body of at least 50 MiB: {received:?}"
     );
     assert_eq!(
         received[1],
@@ -376,7 +376,7 @@
     let gateway = BodyStorageGateway::start(FILES, "");
     let long = body("early", 30 * MIB);
     let answer = gateway.send("report", &long);
-    assert!(answer.succeeded(), "{answer:?}");
+    assert!(answer.succeeded(), "expected rows: {answer:?}");
     let received = gateway.engine.received();
     assert_eq!(
         (received.len(), received[0].is_complete, received[1].sum),
@@ -427,7 +427,7 @@
     let gateway = BodyStorageGateway::start(FILES, "trap '' XFSZ; ulimit -f 8192;");
     let long = body("works", 40 * MIB);
     let answer = gateway.send("report", &long);
-    assert!(answer.succeeded(), "{answer:?}");
+    assert!(answer.succeeded(), "expected rows: {answer:?}");
     assert_eq!(
         gateway.engine.received(),
         [ReceivedBody {
@@ -440,7 +440,7 @@
     assert_eq!(
         (answer.status, gateway.engine.received().len()),
         (503, 2),
-        "{answer:?}"
+        "status and number of attempts, with a full disk: {answer:?}"
     );
     assert!(
         gateway
@@ -472,7 +472,7 @@
             gateway.engine.received()[before..]
                 .iter()
                 .all(|c| !c.is_complete),
-            "{:?}",
+            "the engine received a complete body: {:?}",
             gateway.engine.received()
         );
     }
@@ -575,7 +575,11 @@
         answers.extend(statuses);
     }
     let (succeeded, rejected) = (count(200, &answers), count(503, &answers));
-    assert_eq!(succeeded + rejected, answers.len(), "{answers:?}");
+    assert_eq!(
+        succeeded + rejected,
+        answers.len(),
+        "expected 200 or 503 for each query: {answers:?}"
+    );
     let complete = gateway
         .engine
         .received()
--- a/crates/gateway/tests/extremes.rs
+++ b/crates/gateway/tests/extremes.rs
@@ -243,7 +243,7 @@
             settings.extend(allowed.as_object().unwrap().clone());
         });
         let answer = test_bed.query_with_id(&new_id(), "report", 400, "SELECT 1");
-        assert_eq!(answer.status, 503, "{answer:?}");
+        assert_eq!(answer.status, 503, "expected a rejection: {answer:?}");
         answer.retry_after_ms
     };
     assert_eq!(wait(json!({"retry-after": false})), None);
@@ -333,7 +333,10 @@
             "{deadline} ms forwarded with {remaining_ms} ms left"
         );
     }
-    assert!(deadlines[1].1 + 200 <= deadlines[0].1, "{deadlines:?}");
+    assert!(
+        deadlines[1].1 + 200 <= deadlines[0].1,
+        "the retry should forward at least 200 ms less: {deadlines:?}"
+    );
 }
 
 /// Changes of the largest endpoint list are applied, with the largest number of gateways.
--- a/crates/gateway/tests/floods.rs
+++ b/crates/gateway/tests/floods.rs
@@ -143,11 +143,11 @@
         );
         assert_within_limits(&test_bed);
     }
-    let spans: Vec<_> = slow.into_iter().map(|s| s.join().unwrap()).collect();
-    let longest = *spans.iter().max().unwrap();
+    let durations: Vec<_> = slow.into_iter().map(|s| s.join().unwrap()).collect();
+    let longest = *durations.iter().max().unwrap();
     assert!(
         longest < ms(4000),
-        "a slow connection stayed open for {longest:?}, all: {spans:?}"
+        "a slow connection stayed open for {longest:?}, all: {durations:?}"
     );
 }
 
--- a/crates/gateway/tests/helper/mod.rs
+++ b/crates/gateway/tests/helper/mod.rs
@@ -187,7 +187,7 @@
     let directive = statement
         .split_once("/* spoilt ")
         .and_then(|(_, rest)| rest.split_once(" */"));
-    match directive.map(|(how, _)| how) {
+    match directive.map(|(corruption, _)| corruption) {
         Some("noise") => "\u{1}\u{2} no head at all\r\n\r\n".into(),
         Some("endless head") => format!("HTTP/1.1 200 OK\r\nX-Long: {}", "x".repeat(1 << 20)),
         Some("length") => answer.replace("Content-Length: ", "Content-Length: 9"),
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -259,14 +259,14 @@
         .map(|id| send_keyed(&test_bed, id, "INSERT 1 /* runs 20 */"))
         .collect();
     wait_until("some attempts", || engine.attempts().len() > 3);
-    let left = Instant::now();
+    let disconnected_at = Instant::now();
     drop(calls);
     sleep(ms(800));
     let late: Vec<_> = engine
         .attempts()
         .iter()
         .map(|attempt| attempt.received_at)
-        .filter(|came| *came > left + ms(100))
+        .filter(|received_at| *received_at > disconnected_at + ms(100))
         .collect();
     assert!(
         late.is_empty(),
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -200,18 +200,31 @@
 
 #[test]
 fn cancel_call_that_is_reset_corrupted_or_unanswered_is_retried() {
-    for how in ["reset", "spoilt", "silent"] {
+    for failure in ["reset", "spoilt", "silent"] {
         let engines = TwoEngines::with_deadline(4000.0);
-        let (_a, first) =
-            engines.load(700, &format!("INSERT 1 /* runs 6000 */ /* delete {how} */"));
+        let (_a, first) = engines.load(
+            700,
+            &format!("INSERT 1 /* runs 6000 */ /* delete {failure} */"),
+        );
         engines.wait_until_sent();
         let (_b, second) = engines.load(4000, "INSERT 2 /* runs 10 */");
-        assert_eq!(answer_within(750, first).status, 500, "{how}");
+        assert_eq!(
+            answer_within(750, first).status,
+            500,
+            "first cancel call {failure}"
+        );
         // The second call uses a connection on which the engine has not confirmed the attempt. It cancels the attempt,
         // but its response proves nothing.
         engines.assert_order_kept();
-        assert!(answer_within(4050, second).succeeded(), "{how}");
-        assert_eq!(engines.first.state().cancel_requests, 2, "{how}");
+        assert!(
+            answer_within(4050, second).succeeded(),
+            "first cancel call {failure}"
+        );
+        assert_eq!(
+            engines.first.state().cancel_requests,
+            2,
+            "cancel calls, the first one {failure}"
+        );
     }
 }
 
@@ -467,7 +480,10 @@
         "X-Memory: much\r\n",
         "X-Unique: twice\r\n",
     ] {
-        assert!(!send_load_with(wrong).succeeded(), "{wrong}");
+        assert!(
+            !send_load_with(wrong).succeeded(),
+            "a malformed field was accepted: {wrong}"
+        );
     }
     assert_eq!(
         engines.first.attempts().len(),
--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -202,11 +202,11 @@
     let load = explain(&["--group", "load"]);
     assert!(
         load.contains("1. pool `one`") && load.contains("2. pool `two`"),
-        "{load}"
+        "`plan explain` lacks the pools: {load}"
     );
     assert!(
         load.contains("does not match: route `night-watch`") && load.contains("by its `key`"),
-        "{load}"
+        "`plan explain` lacks the route that does not match: {load}"
     );
     assert!(explain(&["--group", "load", "--key", "1"])
         .contains("rejected: loads with a key are closed"));
@@ -262,7 +262,10 @@
     );
     // A repeated request does not count as another query.
     let repeated = test_bed.query_with_id(&id, "load", 3000, "INSERT /* slow */");
-    assert!(repeated.succeeded(), "{repeated:?}");
+    assert!(
+        repeated.succeeded(),
+        "the repeated request should join its query: {repeated:?}"
+    );
     assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded());
     assert!(
         test_bed.query("load", "INSERT").succeeded(),
@@ -293,7 +296,7 @@
             let mut answers = 0;
             while !stop.load(Ordering::Relaxed) {
                 let answer = test_bed.query("report", "SELECT 1");
-                assert!(answer.succeeded(), "{answer:?}");
+                assert!(answer.succeeded(), "expected rows: {answer:?}");
                 answers += 1;
             }
             answers
@@ -311,9 +314,9 @@
         let log = gateway.wait_until_logged("the previous one stays in force");
         assert!(
             log.contains("the route `reports` may send `report` to `one`, out of `two`"),
-            "{log}"
+            "the log lacks the cause: {log}"
         );
-        assert!(log.contains("a.plan:21:3"), "{log}");
+        assert!(log.contains("a.plan:21:3"), "the log lacks the line: {log}");
         sleep(Duration::from_millis(100));
         assert_eq!(
             gateway.attempts_per_engine().0,
@@ -357,7 +360,7 @@
     assert!(
         error_text.contains("a pool has no entry `knid`")
             && error_text.contains("did you mean `kind`?"),
-        "{error_text}"
+        "the error lacks the cause or the suggestion: {error_text}"
     );
 }
 
@@ -423,7 +426,12 @@
     assert_eq!(json["pools"][0]["name"], json!("a"));
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example.plan");
     let checked = run(&["plan", "check", &path_text(&example)]);
-    assert_eq!(checked.status.code(), Some(0), "{}", output_text(&checked));
+    assert_eq!(
+        checked.status.code(),
+        Some(0),
+        "the example plan is not valid: {}",
+        output_text(&checked)
+    );
     assert_eq!(
         code(&["plan", "fmt", "--check", &path_text(&example)]),
         0,
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -141,7 +141,10 @@
         ))
         .unwrap(),
     );
-    assert!(next.succeeded(), "{next:?}");
+    assert!(
+        next.succeeded(),
+        "the next query of the key should succeed: {next:?}"
+    );
     let all = gateway.engine.attempts();
     assert_eq!(all.len(), 2, "expected one attempt of each query: {all:#?}");
     assert!(
@@ -213,7 +216,10 @@
                 &format!("INSERT {id} /* runs 3 */"),
             );
             let answer = Answer::of(answer.expect("an answer should arrive"));
-            assert!([200, 500, 503].contains(&answer.status), "{answer:?}");
+            assert!(
+                [200, 500, 503].contains(&answer.status),
+                "expected 200, 500 or 503: {answer:?}"
+            );
         }
         ids.extend(round_ids);
     }
@@ -410,6 +416,6 @@
     let error_text = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
         error_text.contains("/no/such/folder/n0.once-only"),
-        "{error_text}"
+        "the error lacks the path of the journal: {error_text}"
     );
 }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -279,11 +279,11 @@
     sleep(Duration::from_millis(800));
     // The list says that the engine has started after the attempt, so the engine has lost the attempt, and the gateway
     // cancels it.
-    let unix = std::time::SystemTime::now()
+    let since_epoch = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap();
     let mut restarted = endpoint("s-1", test_bed.engine.address, "SERVING");
-    restarted["started_ms"] = json!(unix.as_millis() as u64);
+    restarted["started_ms"] = json!(since_epoch.as_millis() as u64);
     test_bed.log.publish(list_change_event(1, &[restarted]));
     let answer = Answer::of(read_message(&mut BufReader::new(stream)).unwrap());
     assert_eq!(answer.status, 503);
@@ -757,7 +757,10 @@
         // The gateway closes connections after their answers and accepts the waiting ones.
         let answer =
             Answer::of(read_message(&mut BufReader::new(stream)).expect("an answer should arrive"));
-        assert!(answer.succeeded() || answer.status == 503, "{answer:?}");
+        assert!(
+            answer.succeeded() || answer.status == 503,
+            "expected rows or 503: {answer:?}"
+        );
     }
     assert!(
         test_bed.query("report", "SELECT 1").succeeded(),
@@ -807,7 +810,7 @@
                 !output.status.success() && log_text.contains(named),
                 "{command} {key}: {log_text}"
             );
-            assert_eq!(log_text.lines().count(), 1, "{log_text}");
+            assert_eq!(log_text.lines().count(), 1, "expected one line: {log_text}");
         }
     }
     assert!(!run(&["serve"], None).status.success());
--- a/crates/gateway/tests/subsets.rs
+++ b/crates/gateway/tests/subsets.rs
@@ -350,7 +350,11 @@
         if gateway.engines_used_since(since).len() + new >= SUBSET_SIZE {
             break;
         }
-        assert!(started_at.elapsed() < ms(8000), "{}", gateway.log_text());
+        assert!(
+            started_at.elapsed() < ms(8000),
+            "the subset is not refilled within 8 s: {}",
+            gateway.log_text()
+        );
     }
     assert!(gateway.engines_used_since(since).is_disjoint(&killed));
 }
@@ -375,7 +379,7 @@
         let used = gateway.engines_used_since(since);
         assert!(
             used.is_disjoint(&dead) && used.len() <= SUBSET_SIZE + RESERVE_SIZE,
-            "{used:?}"
+            "killed or too many engines are used: {used:?}"
         );
         if used.len() >= SUBSET_SIZE {
             break;
@@ -409,7 +413,10 @@
     assert_eq!(gateway.run_queries(), 4 * SUBSET_SIZE);
     assert!(gateway.engines_used_since(published_at).len() >= MIN_MEMBERS);
     let members = gateway.members();
-    assert!(members.is_disjoint(&lost), "{members:?}");
+    assert!(
+        members.is_disjoint(&lost),
+        "engines of the lost zone are used: {members:?}"
+    );
 }
 
 #[test]
@@ -434,7 +441,10 @@
         let published_at = Instant::now();
         assert_eq!(gateway.run_queries(), 4 * SUBSET_SIZE);
         let used = gateway.engines_used_since(published_at);
-        assert!(used.len() >= MIN_MEMBERS, "{used:?}");
+        assert!(
+            used.len() >= MIN_MEMBERS,
+            "too few engines are used: {used:?}"
+        );
         assert!(
             !full || used.iter().all(|n| part.contains(n)),
             "{used:?} of {part:?}"
@@ -561,7 +571,7 @@
             !good
                 && log_text.contains(": pool few: ")
                 && log_text.contains("; name zones and kinds"),
-            "{log_text}"
+            "the plan was not refused with the pool and a remedy: {log_text}"
         );
     }
 }
@@ -582,7 +592,7 @@
         gateway
             .log_text()
             .contains("configuration change needs a restart key=\"subset\""),
-        "{}",
+        "the log lacks the key that needs a restart: {}",
         gateway.log_text()
     );
     assert_eq!(gateway.members(), members);
@@ -594,7 +604,7 @@
     });
     assert!(
         gateway.log_text().contains("subset.size: 0 "),
-        "{}",
+        "the log lacks the error of the configuration: {}",
         gateway.log_text()
     );
     let out: Vec<TcpStream> = (0..SUBSET_SIZE)
@@ -616,7 +626,7 @@
     assert!(status.success(), "{status}: {}", gateway.log_text());
     assert!(
         !gateway.log_text().contains("panicked"),
-        "{}",
+        "the gateway panicked: {}",
         gateway.log_text()
     );
 }
--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -286,7 +286,7 @@
     let (wait, after) = rest.split_once("\r\n").unwrap();
     assert!(
         (1..=250).contains(&wait.parse::<u64>().unwrap()),
-        "{limited}"
+        "x-wait-ms is not from 1 to 250: {limited}"
     );
     assert_eq!(
         format!("{before}{after}"),
@@ -425,7 +425,10 @@
     let (before, rest) = call.split_once("x-patience: ").expect("x-patience");
     let (value, after) = rest.split_once("\r\n").unwrap();
     let value: u64 = value.parse().unwrap();
-    assert!((1..=2500).contains(&value), "{call}");
+    assert!(
+        (1..=2500).contains(&value),
+        "x-patience is not from 1 to 2500: {call}"
+    );
     format!("{before}x-patience: N\r\n{after}")
 }
 
@@ -540,14 +543,18 @@
         let before = engine.count("POST");
         let answer = answer_to(test_bed.address, &post(&new_id(), "load", "", statement));
         match expected {
-            Some(expected) => assert_eq!(answer, expected, "{statement}"),
+            Some(expected) => assert_eq!(answer, expected, "answer to the statement {statement}"),
             None => assert!(
                 answer.starts_with("HTTP/1.1 503 Service Unavailable\r\n")
                     && answer.ends_with(r#"{"error":"Busy"}"#),
                 "{statement}: {answer}"
             ),
         }
-        assert_eq!(engine.count("POST") - before, starts, "{statement}");
+        assert_eq!(
+            engine.count("POST") - before,
+            starts,
+            "number of starts of the statement {statement}"
+        );
     }
 }
 
@@ -642,13 +649,17 @@
             .unwrap();
         let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).unwrap();
         let listen = config_address(good);
-        assert_eq!(ended.status.code(), Some(code), "{arguments:?}");
+        assert_eq!(
+            ended.status.code(),
+            Some(code),
+            "exit code of {arguments:?}"
+        );
         assert_eq!(
             text(&ended.stdout),
             out.replace("ADDR?", &listen),
-            "{arguments:?}"
+            "standard output of {arguments:?}"
         );
-        assert_eq!(text(&ended.stderr), err, "{arguments:?}");
+        assert_eq!(text(&ended.stderr), err, "standard error of {arguments:?}");
     }
 }
 
@@ -713,7 +724,7 @@
     assert_eq!(code, Some(1));
     assert!(
         output.starts_with("garnetwall: invalid plan /nowhere/a.plan\n"),
-        "{output}"
+        "the error lacks the path of the plan: {output}"
     );
     let log = |level: &str| {
         let mut command = gateway_command(&["serve"]);
@@ -763,7 +774,7 @@
     let failed = short_answer("500 Internal Server Error", "", r#"{"error":"Failed"}"#);
     for id in ["9b1f03aa5c7e2d01", "9b1f03aa5c7e2d02", "9b1f03aa5c7e2d03"] {
         let answer = answer_to(test_bed.address, &post(id, "load", "", "INSERT 1"));
-        assert_eq!(answer, failed, "{id}");
+        assert_eq!(answer, failed, "answer to the recorded query {id}");
     }
     assert_eq!(test_bed.engine.requests("POST"), 0);
     // The write of the last record was interrupted, so the query of that record was never sent.
