--- a/crates/gateway/tests/slow_discovery.rs
+++ b/crates/gateway/tests/slow_discovery.rs
@@ -3,11 +3,12 @@
 //! Guards against closing a slow connection before another one has delivered. Each connection used to be closed 2.5 s
 //! after it was begun or after its last complete line, and the next one began from the first byte. A list that always
 //! took a little longer, because the response or its first line was late or a long list came over a slow link, was
-//! never applied. The warning `change log lost` with the error `the change log connection delivered no complete line in
-//! time` appeared once, and at the debug level `another change log connection failed; the change log is still lost` for
-//! each further connection. Against a log that answered each connection 3.0 s late, a gateway in a run of 25 s sent 193
-//! attempts to engines listed as draining later than 7.05 s after the drain was published, the last one after 19.3 s. A
-//! further connection is now opened beside a slow one (`discovery::connection_set`).
+//! never applied: in 7 s the scripted log accepted three connections and delivered nothing on them. The warning `change
+//! log lost` with the error `the change log connection delivered no complete line in time` appeared once, and at the
+//! debug level `another change log connection failed; the change log is still lost` for each further connection.
+//! Against a log that answered each connection 3.0 s late, a gateway in a run of 25 s sent 193 attempts to engines
+//! listed as draining later than 7.05 s after the drain was published, the last one after 19.3 s. A further connection
+//! is now opened beside a slow one (`discovery::connection_set`).
 
 mod helper;
 
