--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Invalid input at startup: the program serves with a configuration, or refuses it at once with the place, the cause and a
-//! remedy. It never panics and never hangs. `check-config` and `serve` report the same.
+//! Invalid input at startup. The program either serves with a configuration or refuses it at once, naming the place,
+//! the cause and a remedy; it never panics and never hangs. `check-config` and `serve` agree.
 
 mod helper;
 
@@ -14,10 +14,11 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Time limit of every answer and exit.
+/// Time limit of each answer and each exit.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The helper's addresses repeat after 254 numbers, and these tests use more: each gets its own port.
+/// Returns an address with a port of its own. The IP addresses of `free_address` repeat after 254 calls, and these
+/// tests make more.
 fn own_address() -> SocketAddr {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(10_000);
     SocketAddr::new(
@@ -26,7 +27,7 @@
     )
 }
 
-/// A valid configuration that names every key that is read.
+/// Returns a valid configuration that has every key that the gateway reads.
 fn full_config(engine: SocketAddr, log: SocketAddr) -> Value {
     let mut config = config(engine, log);
     config["listen"] = json!(own_address().to_string());
@@ -57,11 +58,12 @@
     config
 }
 
+/// Returns the JSON pointer of a path whose keys are separated by dots.
 fn pointer(path: &str) -> String {
     format!("/{}", path.replace('.', "/"))
 }
 
-/// Sets a value at a path, also where the key does not exist yet.
+/// Sets the value at a path; the last key need not exist yet.
 fn set_value(config: &mut Value, path: &str, value: Value) {
     let (parent, key) = path.rsplit_once('.').unwrap_or(("", path));
     let parent = if parent.is_empty() {
@@ -75,6 +77,7 @@
     }
 }
 
+/// Removes the key at a path.
 fn remove(config: &mut Value, path: &str) {
     let (parent, key) = path.rsplit_once('.').unwrap_or(("", path));
     let parent = if parent.is_empty() {
@@ -85,7 +88,7 @@
     parent.as_object_mut().unwrap().remove(key).unwrap();
 }
 
-/// Collects the paths of a value and of all values in it, its own first.
+/// Collects the paths of a value and of all values in it, beginning with its own.
 fn collect_paths(value: &Value, at: &str, into: &mut Vec<String>) {
     let under = |key: &str| {
         if at.is_empty() {
@@ -111,6 +114,7 @@
     }
 }
 
+/// Returns the exit status of a process; kills it and panics after [`RESPONSE_TIMEOUT`].
 fn wait_for_exit(child: &mut Child, case: &str) -> ExitStatus {
     let started_at = Instant::now();
     while started_at.elapsed() < RESPONSE_TIMEOUT {
@@ -121,19 +125,19 @@
     }
     child.kill().unwrap();
     child.wait().unwrap();
-    panic!("{case}: no answer in {RESPONSE_TIMEOUT:?}");
+    panic!("{case}: the process did not exit within {RESPONSE_TIMEOUT:?}");
 }
 
-/// Runs a command on a file until it exits; returns whether it succeeded and its standard error.
+/// Runs a command on a configuration file until it exits. Returns whether it succeeded, and its standard error.
 fn run(command: &str, file: &Path, case: &str) -> (bool, String) {
-    let stderr_text = file.with_extension("said");
+    let stderr_path = file.with_extension("stderr");
     let mut child = gateway_command(&[command, "--config", file.to_str().unwrap()])
         .stdout(Stdio::null())
-        .stderr(File::create(&stderr_text).unwrap())
+        .stderr(File::create(&stderr_path).unwrap())
         .spawn()
         .unwrap();
     let status = wait_for_exit(&mut child, case);
-    let stderr_text = std::fs::read_to_string(stderr_text).unwrap();
+    let stderr_text = std::fs::read_to_string(stderr_path).unwrap();
     assert_eq!(status.signal(), None, "{case}: {stderr_text}");
     assert!(!stderr_text.contains("panicked"), "{case}: {stderr_text}");
     assert!(
@@ -143,52 +147,54 @@
     (status.success(), stderr_text)
 }
 
-/// Asserts that both commands refuse it in one line with the place, the cause and a remedy.
+/// Asserts that `check-config` and `serve` refuse a configuration with one line that names the place, the cause and a
+/// remedy.
 fn assert_refused(config: &Value, place: &str, cause: &str, case: &str) {
     let file = write_config(config);
     for command in ["check-config", "serve"] {
         let (accepted, stderr_text) = run(command, &file, case);
-        assert!(!accepted, "{case}: {command} accepts it");
+        assert!(!accepted, "{case}: {command} accepts the configuration");
         assert_error_line(&stderr_text, place, cause, &format!("{case}: {command}"));
     }
 }
 
+/// Asserts that standard error is one line with this place, this cause and a remedy.
 fn assert_error_line(stderr_text: &str, place: &str, cause: &str, case: &str) {
     let lines: Vec<&str> = stderr_text.lines().collect();
     assert_eq!(lines.len(), 1, "{case}: {stderr_text}");
     let rest = lines[0].strip_prefix(&format!("garnetwall: configuration {place}: "));
     let rest =
-        rest.unwrap_or_else(|| panic!("{case}: names another place than {place}: {stderr_text}"));
+        rest.unwrap_or_else(|| panic!("{case}: the error does not name {place}: {stderr_text}"));
     let (message, remedy) = rest
         .rsplit_once("; ")
-        .unwrap_or_else(|| panic!("{case}: no remedy: {stderr_text}"));
+        .unwrap_or_else(|| panic!("{case}: the error names no remedy: {stderr_text}"));
     assert!(
         message.contains(cause),
-        "{case}: not '{cause}': {stderr_text}"
+        "{case}: the error does not name the cause '{cause}': {stderr_text}"
     );
     assert!(remedy.len() > 3, "{case}: {stderr_text}");
 }
 
-/// A started gateway with the file of its standard error.
+/// A running gateway and the file with its standard error. The gateway is killed when this is dropped.
 struct StartedGateway {
     child: Child,
-    stderr_text: std::path::PathBuf,
+    stderr_path: std::path::PathBuf,
     address: SocketAddr,
 }
 
 impl StartedGateway {
     fn with_config(config: &Value) -> StartedGateway {
         let file = write_config(config);
-        let stderr_text = file.with_extension("said");
-        let child = serve_from(&file, File::create(&stderr_text).unwrap().into());
+        let stderr_path = file.with_extension("stderr");
+        let child = serve_from(&file, File::create(&stderr_path).unwrap().into());
         StartedGateway {
             child,
-            stderr_text,
+            stderr_path,
             address: config["listen"].as_str().unwrap().parse().unwrap(),
         }
     }
 
-    /// Waits until `/healthz` answers with a status.
+    /// Waits until `/healthz` answers with this status; panics where the gateway exits or the time limit passes.
     fn wait_until_health_is(&mut self, status: u16, case: &str) {
         let started_at = Instant::now();
         while started_at.elapsed() < RESPONSE_TIMEOUT {
@@ -209,7 +215,7 @@
         );
     }
 
-    /// Sends a query and returns the status of its answer.
+    /// Sends a query and returns the status of the answer; panics where the gateway has exited.
     fn query(&mut self, headers: &str, case: &str) -> u16 {
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
@@ -224,10 +230,10 @@
     }
 
     fn stderr_text(&self) -> String {
-        std::fs::read_to_string(&self.stderr_text).unwrap()
+        std::fs::read_to_string(&self.stderr_path).unwrap()
     }
 
-    /// Stops it with SIGTERM; asserts that it exits successfully and has not panicked.
+    /// Stops the gateway with SIGTERM. Asserts that it exits successfully and has not panicked.
     fn stop(mut self, case: &str) {
         let kill = format!("kill -TERM {}", self.child.id());
         assert!(Command::new("sh")
@@ -252,16 +258,17 @@
     }
 }
 
-struct Surroundings {
-    engine: Engine,
-    log: ChangeLog,
+/// A fake engine and a fake change log, which the tested configurations name.
+struct Fixture {
+    engine: FakeEngine,
+    log: FakeChangeLog,
 }
 
-impl Surroundings {
-    fn new() -> Surroundings {
-        Surroundings {
-            engine: Engine::start(),
-            log: ChangeLog::start(),
+impl Fixture {
+    fn new() -> Fixture {
+        Fixture {
+            engine: FakeEngine::start(),
+            log: FakeChangeLog::start(),
         }
     }
 
@@ -269,6 +276,7 @@
         full_config(self.engine.address, self.log.address)
     }
 
+    /// Returns the base configuration with another value at a path.
     fn with(&self, path: &str, value: Value) -> Value {
         let mut config = self.config();
         set_value(&mut config, path, value);
@@ -279,6 +287,7 @@
         endpoint(id, self.engine.address, "SERVING")
     }
 
+    /// Returns the base configuration with these endpoint list entries.
     fn with_engines(&self, lines: &[Value]) -> Value {
         self.with("known.results", json!([full_list_event(0, lines)]))
     }
@@ -286,8 +295,8 @@
 
 #[test]
 fn base_configuration_is_served() {
-    let surroundings = Surroundings::new();
-    let mut gateway = StartedGateway::with_config(&surroundings.config());
+    let fixture = Fixture::new();
+    let mut gateway = StartedGateway::with_config(&fixture.config());
     gateway.wait_until_health_is(200, "the base");
     assert_eq!(
         gateway.query(&request_headers(&new_id(), 3000), "the base"),
@@ -298,7 +307,7 @@
 
 #[test]
 fn invalid_configuration_is_refused_with_place_cause_and_remedy() {
-    let surroundings = Surroundings::new();
+    let fixture = Fixture::new();
     let day = 86_400_000.0;
     let engine = "known.results.0.fleet.servers.0";
     let at = |key: &str| format!("{engine}.{key}");
@@ -445,7 +454,7 @@
     ];
     for (path, value, cause) in refused {
         let case = format!("{path}={value}");
-        // The index of a faulty list item is part of its place.
+        // The place of a faulty list item includes its index.
         let place = match *path {
             "settings.domain.parallelism" | "settings.domain.kind-cores" | "settings.kinds" => {
                 format!("{path}.0")
@@ -454,26 +463,21 @@
             "settings.categories.2.allowed-on" if value[0].is_object() => format!("{path}.0"),
             _ => path.to_string(),
         };
-        assert_refused(
-            &surroundings.with(path, value.clone()),
-            &place,
-            cause,
-            &case,
-        );
+        assert_refused(&fixture.with(path, value.clone()), &place, cause, &case);
     }
 }
 
 #[test]
-fn unsatisfiable_subset_is_refused() {
-    let surroundings = Surroundings::new();
+fn invalid_subset_is_refused_with_place_and_cause() {
+    let fixture = Fixture::new();
     assert_refused(
-        &surroundings.with("subset", json!([])),
+        &fixture.with("subset", json!([])),
         "subset",
         "an object expected",
         "subset=[]",
     );
     assert_refused(
-        &surroundings.with("subset", json!({})),
+        &fixture.with("subset", json!({})),
         "subset.size",
         "missing",
         "subset={}",
@@ -507,7 +511,7 @@
         subset[key] = value.clone();
         let place = format!("subset.{key}");
         assert_refused(
-            &surroundings.with("subset", subset),
+            &fixture.with("subset", subset),
             &place,
             cause,
             &format!("{place}={value}"),
@@ -517,7 +521,7 @@
 
 #[test]
 fn missing_keys_are_refused() {
-    let surroundings = Surroundings::new();
+    let fixture = Fixture::new();
     for key in [
         "name",
         "listen",
@@ -527,23 +531,23 @@
         "known.seq",
         "known.results",
     ] {
-        let mut config = surroundings.config();
+        let mut config = fixture.config();
         remove(&mut config, key);
         assert_refused(&config, key, "missing", key);
     }
-    let mut config = surroundings.config();
+    let mut config = fixture.config();
     remove(&mut config, "settings.categories");
     assert_refused(&config, "settings.categories", "empty", "no categories");
 }
 
 #[test]
 fn event_numbers_of_the_initial_list_increase() {
-    let surroundings = Surroundings::new();
+    let fixture = Fixture::new();
     let events = |numbers: &[u64]| {
         numbers
             .iter()
             .map(|n| {
-                let endpoints = [surroundings.endpoint("s-1")];
+                let endpoints = [fixture.endpoint("s-1")];
                 match *n == numbers[0] {
                     true => full_list_event(*n, &endpoints),
                     false => list_change_event(*n, &endpoints),
@@ -557,7 +561,7 @@
         (&[1, 2, 4], 3, Some("known.results.2.seq")),
         (&[1, 3], 3, None),
     ] {
-        let config = surroundings.with("known", json!({"seq": last, "results": events(numbers)}));
+        let config = fixture.with("known", json!({"seq": last, "results": events(numbers)}));
         let case = format!("{numbers:?} up to {last}");
         match fault {
             Some(place) => assert_refused(
@@ -579,19 +583,19 @@
     let deep = "[".repeat(10_000);
     let files: &[(&str, &[u8], &str)] = &[
         ("empty", b"", "not JSON"),
-        ("cut off", b"{\"name\": \"n0\", ", "not JSON"),
+        ("truncated", b"{\"name\": \"n0\", ", "not JSON"),
         (
-            "not a number",
+            "NaN",
             b"{\"settings\": {\"categories\": [{\"give-up\": NaN}]}}",
             "not JSON",
         ),
         (
-            "past all numbers",
+            "number out of range",
             b"{\"settings\": {\"balancers\": 1e999}}",
             "not JSON",
         ),
         ("no UTF-8", b"{\"name\": \"\xff\xfe\"}", "not JSON"),
-        ("deep", deep.as_bytes(), "not JSON"),
+        ("deeply nested", deep.as_bytes(), "not JSON"),
         (
             "a list",
             b"[]",
@@ -625,17 +629,21 @@
             .output()
             .unwrap();
         let stderr_text = String::from_utf8(child.stderr).unwrap();
-        assert_eq!(child.status.code(), Some(1), "{stderr_text}");
+        assert_eq!(
+            child.status.code(),
+            Some(1),
+            "an unreadable file was not refused: {stderr_text}"
+        );
         assert!(
             stderr_text.contains(path.to_str().unwrap()) && stderr_text.contains("; name a file"),
-            "{stderr_text}"
+            "the error lacks the path or the remedy: {stderr_text}"
         );
     }
 }
 
 #[test]
 fn unusual_but_valid_configuration_is_served() {
-    let surroundings = Surroundings::new();
+    let fixture = Fixture::new();
     let many = |n: usize| {
         let address =
             |i: usize| SocketAddr::from(([127, 9, (i / 250) as u8, (i % 250) as u8 + 1], 4100));
@@ -646,92 +654,92 @@
     let peers: Vec<String> = (0..1024)
         .map(|i| format!("10.3.{}.{}:7946", i / 250, i % 250 + 1))
         .collect();
-    let cold =
-        json!({"id": "s-1", "addr": surroundings.engine.address.to_string(), "state": "SERVING"});
-    // Whether a query succeeds; otherwise it has another answer.
+    let cold = json!({"id": "s-1", "addr": fixture.engine.address.to_string(), "state": "SERVING"});
+    // The third field says whether a query succeeds; otherwise it is rejected or fails.
     let served: &[(&str, Value, bool)] = &[
-        ("hours", surroundings.with("settings.categories.0.give-up", json!(86_400_000)), true),
-        ("goal of 0", surroundings.with("settings.categories.0.goal-time", json!(0)), true),
-        ("no worth", surroundings.with("settings.categories.0.worth", json!(0)), false),
-        ("no late share", surroundings.with("settings.categories.0.late-share", json!(0)), true),
-        ("portion of 0", surroundings.with("settings.tenants.0.portion", json!(0)), true),
-        ("quota of 0", surroundings.with("settings.tenants.0.quota-per-s", json!(0)), true),
-        ("no tenants named", surroundings.with("settings.tenants", json!(null)), true),
-        ("empty tenants", surroundings.with("settings.tenants", json!([])), true),
-        ("unknown way of reports", surroundings.with("settings.telemetry.how", json!("by post")), true),
-        ("unknown way of lists", surroundings.with("settings.registry-mode", json!("shouted")), true),
+        ("a deadline of 24 hours", fixture.with("settings.categories.0.give-up", json!(86_400_000)), true),
+        ("latency objective of 0", fixture.with("settings.categories.0.goal-time", json!(0)), true),
+        ("priority weight of 0", fixture.with("settings.categories.0.worth", json!(0)), false),
+        ("late value share of 0", fixture.with("settings.categories.0.late-share", json!(0)), true),
+        ("tenant share of 0", fixture.with("settings.tenants.0.portion", json!(0)), true),
+        ("tenant quota of 0", fixture.with("settings.tenants.0.quota-per-s", json!(0)), true),
+        ("tenants of null", fixture.with("settings.tenants", json!(null)), true),
+        ("empty tenants", fixture.with("settings.tenants", json!([])), true),
+        ("unknown mode of load reports", fixture.with("settings.telemetry.how", json!("by post")), true),
+        ("unknown mode of endpoint lists", fixture.with("settings.registry-mode", json!("shouted")), true),
         (
-            "unknown scope, taken for the narrowest",
-            surroundings.with("settings.categories.2.key-scope", json!("house")),
+            "unknown key scope, taken for the narrowest",
+            fixture.with("settings.categories.2.key-scope", json!("house")),
             true,
         ),
-        ("cores of 0 are not known", surroundings.with("settings.domain.kind-cores", json!([0])), true),
-        ("no room for a kind's memory", surroundings.with("settings.domain.kind-memory-mb", json!([])), true),
-        ("threads without a number", surroundings.with("settings.domain.parallelism", json!([])), true),
-        ("a budget of no time", surroundings.with("settings.rules.extra-window", json!(0)), true),
-        ("no rules", surroundings.with("settings.rules", json!(null)), true),
-        ("unknown key", surroundings.with("weather", json!({"x": [[null, {}], 1e308]})), true),
+        ("0 cores, taken for unknown", fixture.with("settings.domain.kind-cores", json!([0])), true),
+        ("no memory given for a kind", fixture.with("settings.domain.kind-memory-mb", json!([])), true),
+        ("no number of threads", fixture.with("settings.domain.parallelism", json!([])), true),
+        ("retry budget over a window of 0", fixture.with("settings.rules.extra-window", json!(0)), true),
+        ("rules of null", fixture.with("settings.rules", json!(null)), true),
+        ("unknown key", fixture.with("weather", json!({"x": [[null, {}], 1e308]})), true),
         (
             "unknown keys in settings",
-            surroundings.with("settings.more", json!({"x": [[1], null, {"y": [[]]}]})),
+            fixture.with("settings.more", json!({"x": [[1], null, {"y": [[]]}]})),
             true,
         ),
-        ("unknown key in a group", surroundings.with("settings.categories.0.more", json!([[1], [{}]])), true),
-        ("odd unread keys", surroundings.with("settings.prices", json!([null, {"a": 1}, 3])), true),
-        ("no limits", surroundings.with("limits", json!(null)), true),
-        ("subset of null", surroundings.with("subset", json!(null)), true),
-        ("subset of one", surroundings.with("subset", json!({"size": 1})), true),
-        ("subset over the list", surroundings.with("subset", json!({"size": 1 << 20})), true),
+        ("unknown key in a group", fixture.with("settings.categories.0.more", json!([[1], [{}]])), true),
+        ("unread key with an odd value", fixture.with("settings.prices", json!([null, {"a": 1}, 3])), true),
+        ("limits of null", fixture.with("limits", json!(null)), true),
+        ("subset of null", fixture.with("subset", json!(null)), true),
+        ("subset of one", fixture.with("subset", json!({"size": 1})), true),
+        ("subset larger than the list", fixture.with("subset", json!({"size": 1 << 20})), true),
         (
-            "subset with all that is read, and more",
-            surroundings.with(
+            "subset with every key, and an unknown one",
+            fixture.with(
                 "subset",
                 json!({"size": 80, "class_floor": 0, "reserve": 0, "joins_per_second": 1e-3, "zone": "east",
                     "near_weight": 1, "weather": [null]}),
             ),
             true,
         ),
-        ("least limits", surroundings.with("limits", json!({"sockets": 64, "memory_mb": 16})), true),
-        ("most limits", surroundings.with("limits", json!({"sockets": 1 << 30, "memory_mb": 1 << 30})), true),
-        ("no peers", surroundings.with("peers", json!([])), true),
-        ("peers of null", surroundings.with("peers", json!(null)), true),
-        ("1024 peers", surroundings.with("peers", json!(peers)), true),
-        ("no engines", surroundings.with_engines(&[]), false),
-        ("an engine twice", surroundings.with_engines(&[surroundings.endpoint("s-1"), surroundings.endpoint("s-1")]), true),
-        ("an address of two engines", surroundings.with_engines(&[surroundings.endpoint("s-1"), surroundings.endpoint("s-2")]), true),
+        ("least limits", fixture.with("limits", json!({"sockets": 64, "memory_mb": 16})), true),
+        ("most limits", fixture.with("limits", json!({"sockets": 1 << 30, "memory_mb": 1 << 30})), true),
+        ("no peers", fixture.with("peers", json!([])), true),
+        ("peers of null", fixture.with("peers", json!(null)), true),
+        ("1024 peers", fixture.with("peers", json!(peers)), true),
+        ("no engines", fixture.with_engines(&[]), false),
+        ("an engine listed twice", fixture.with_engines(&[fixture.endpoint("s-1"), fixture.endpoint("s-1")]), true),
+        ("two engines at one address", fixture.with_engines(&[fixture.endpoint("s-1"), fixture.endpoint("s-2")]), true),
         (
-            "an engine that has gone",
-            surroundings.with_engines(&[endpoint("s-1", surroundings.engine.address, "DELETED")]),
+            "a deleted engine",
+            fixture.with_engines(&[endpoint("s-1", fixture.engine.address, "DELETED")]),
             false,
         ),
-        ("an engine with few fields", surroundings.with_engines(&[cold]), true),
-        ("1024 engines that nobody runs", surroundings.with_engines(&many(1024)), false),
+        ("an engine with few fields", fixture.with_engines(&[cold]), true),
+        ("1024 engines at which nothing listens", fixture.with_engines(&many(1024)), false),
     ];
-    // Stopping takes each 0.7 s.
+    // Each stop takes 0.7 s, so four threads share the cases.
     std::thread::scope(|scope| {
         for part in served.chunks(served.len().div_ceil(4)) {
             scope.spawn(|| {
                 part.iter()
-                    .for_each(|(case, config, returned)| assert_served(case, config, *returned))
+                    .for_each(|(case, config, succeeds)| assert_served(case, config, *succeeds))
             });
         }
     });
 }
 
-fn assert_served(case: &str, config: &Value, returned: bool) {
+/// Asserts that a configuration is valid, that a gateway serves with it, and whether its queries succeed.
+fn assert_served(case: &str, config: &Value, succeeds: bool) {
     assert!(run("check-config", &write_config(config), case).0, "{case}");
     let mut config = config.clone();
     config["listen"] = json!(own_address().to_string());
     let mut gateway = StartedGateway::with_config(&config);
     gateway.wait_until_health_is(200, case);
-    // The client allows the largest time of its query class.
+    // The client allows the longest time that its query class permits.
     let allowed = config["settings"]["categories"][0]["give-up"]
         .as_f64()
         .unwrap();
-    let team = config["settings"]["tenants"][0].is_object();
+    let names_tenant = config["settings"]["tenants"][0].is_object();
     let mut send_query = || {
         let headers = request_headers(&new_id(), allowed as u32);
-        let headers = if team {
+        let headers = if names_tenant {
             headers
         } else {
             headers.replace("X-Team: acme\r\n", "")
@@ -740,30 +748,34 @@
     };
     let started_at = Instant::now();
     let mut status = send_query();
-    // On a busy machine a connection may be established too late; a rejected client retries.
-    while returned && status == 503 && started_at.elapsed() < RESPONSE_TIMEOUT {
+    // On a busy machine a connection may be established too late. The query is then rejected, and the client retries.
+    while succeeds && status == 503 && started_at.elapsed() < RESPONSE_TIMEOUT {
         status = send_query();
     }
-    let accepted = if returned {
+    let accepted = if succeeds {
         status == 200
     } else {
         status == 503 || status == 500
     };
-    assert!(accepted, "{case}: {status}: {}", gateway.stderr_text());
+    assert!(
+        accepted,
+        "{case}: the query got status {status}: {}",
+        gateway.stderr_text()
+    );
     gateway.stop(case);
 }
 
-/// Without a list it starts, accepts requests, and reports that it does not serve yet.
+/// A gateway without an endpoint list starts, accepts requests, and reports that it does not serve yet.
 #[test]
 fn gateway_without_an_endpoint_list_waits_for_one() {
-    let surroundings = Surroundings::new();
+    let fixture = Fixture::new();
     for known in [
         json!(null),
         json!({"seq": 0, "results": []}),
         json!({"seq": 1, "results": [{"seq": 1}]}),
     ] {
         let case = format!("known {known}");
-        let mut config = surroundings.with("known", known);
+        let mut config = fixture.with("known", known);
         config["listen"] = json!(own_address().to_string());
         assert!(
             run("check-config", &write_config(&config), &case).0,
@@ -775,15 +787,19 @@
     }
 }
 
-/// Sets unexpected values at every path of the base configuration. A refusal names a place and a remedy; otherwise the gateway
-/// is started, answers `/healthz`, and accepts a query.
+/// Sets unexpected values at every path of the base configuration. Either the refusal names a place and a remedy, or
+/// the gateway starts, answers `/healthz` and accepts a query.
 #[test]
 fn unexpected_value_at_every_path_is_served_or_refused() {
-    let surroundings = Surroundings::new();
-    let base = surroundings.config();
+    let fixture = Fixture::new();
+    let base = fixture.config();
     let mut all = Vec::new();
     collect_paths(&base, "", &mut all);
-    assert!(all.len() > 100, "{}", all.len());
+    assert!(
+        all.len() > 100,
+        "only {} paths in the base configuration",
+        all.len()
+    );
     let wrong = [
         json!(null),
         json!("odd"),
@@ -807,7 +823,7 @@
                 let root = place.split('.').next().unwrap();
                 assert!(
                     base.get(root).is_some(),
-                    "{case}: no such place: {stderr_text}"
+                    "{case}: the error names an unknown place: {stderr_text}"
                 );
                 assert!(
                     rest.contains("; ") && stderr_text.lines().count() == 1,
@@ -819,10 +835,10 @@
             assert!(stderr_text.is_empty(), "{case}: {stderr_text}");
             config["listen"] = json!(own_address().to_string());
             let mut gateway = StartedGateway::with_config(&config);
-            let starting = config["known"]["results"]
+            let without_list = config["known"]["results"]
                 .as_array()
                 .is_none_or(Vec::is_empty);
-            gateway.wait_until_health_is(if starting { 503 } else { 200 }, &case);
+            gateway.wait_until_health_is(if without_list { 503 } else { 200 }, &case);
             gateway.query(&request_headers(&new_id(), 200), &case);
             assert!(
                 !gateway.stderr_text().contains("panicked"),
@@ -834,6 +850,6 @@
     println!("{refused} refused, {served} served");
     assert!(
         refused > 200 && served > 50,
-        "{refused} refused, {served} served"
+        "expected more than 200 refused and 50 served: {refused} refused, {served} served"
     );
 }
--- a/crates/gateway/tests/early_signals.rs
+++ b/crates/gateway/tests/early_signals.rs
@@ -1,4 +1,5 @@
-//! Signals received while the gateway is starting: its configuration is a pipe that has not been written yet.
+//! Signals that arrive while the gateway is starting. Its configuration file is a pipe that the test writes late, which
+//! keeps the gateway in its startup.
 
 mod helper;
 
@@ -10,14 +11,14 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A gateway that waits for its configuration.
-struct Starting {
+/// A gateway that waits for its configuration from a pipe.
+struct StartingGateway {
     child: Child,
     pipe: PathBuf,
 }
 
-impl Starting {
-    fn spawn() -> Starting {
+impl StartingGateway {
+    fn spawn() -> StartingGateway {
         let pipe = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("pipe-{}", new_id()));
         let _ = std::fs::remove_file(&pipe);
         assert!(Command::new("mkfifo")
@@ -31,10 +32,10 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        Starting { child, pipe }
+        StartingGateway { child, pipe }
     }
 
-    /// Waits until the gateway has opened the pipe, from which it then reads.
+    /// Opens the pipe for writing; blocks until the gateway has opened it for reading.
     fn open_pipe(&self) -> std::fs::File {
         std::fs::OpenOptions::new()
             .write(true)
@@ -42,6 +43,7 @@
             .unwrap()
     }
 
+    /// Sends a signal such as `HUP` to the gateway.
     fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         assert!(Command::new("sh")
@@ -52,7 +54,7 @@
     }
 }
 
-impl Drop for Starting {
+impl Drop for StartingGateway {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -66,28 +68,32 @@
 }
 
 fn assert_sighup_during_startup_takes_effect() {
-    let (engine, log, second_log) = (Engine::start(), ChangeLog::start(), ChangeLog::start());
-    let starting = Starting::spawn();
-    let mut pipe = starting.open_pipe();
-    starting.signal("HUP");
+    let (engine, log, second_log) = (
+        FakeEngine::start(),
+        FakeChangeLog::start(),
+        FakeChangeLog::start(),
+    );
+    let gateway = StartingGateway::spawn();
+    let mut pipe = gateway.open_pipe();
+    gateway.signal("HUP");
     sleep(ms(50));
     let mut configuration = config(engine.address, log.address);
     pipe.write_all(configuration.to_string().as_bytes())
         .unwrap();
     drop(pipe);
-    // The gateway serves although a file is not readable yet.
+    // The gateway serves although the pipe has not been written again for the reload.
     let address: std::net::SocketAddr = configuration["listen"].as_str().unwrap().parse().unwrap();
-    wait_until("it listens", || {
+    wait_until("the gateway listens", || {
         std::net::TcpStream::connect(address).is_ok()
     });
-    // It reloads its configuration, which names another change log.
-    let mut second_pipe = starting.open_pipe();
+    // The reload reads a configuration that names another change log.
+    let mut second_pipe = gateway.open_pipe();
     configuration["changelog"] = second_log.address.to_string().into();
     second_pipe
         .write_all(configuration.to_string().as_bytes())
         .unwrap();
     drop(second_pipe);
-    wait_until("it follows the other log", || {
+    wait_until("the gateway follows the other log", || {
         !second_log.last_event_ids.lock().unwrap().is_empty()
     });
     let stream = std::net::TcpStream::connect(address).unwrap();
@@ -97,20 +103,20 @@
         &request_headers(&new_id(), 3000),
         "SELECT 1",
     );
-    assert!(Answer::of(answer.expect("an answer")).succeeded());
+    assert!(Answer::of(answer.expect("an answer should arrive")).succeeded());
 }
 
 fn assert_sigterm_during_startup_exits_with_0() {
-    let mut starting = Starting::spawn();
-    let _pipe = starting.open_pipe();
-    starting.signal("TERM");
+    let mut gateway = StartingGateway::spawn();
+    let _pipe = gateway.open_pipe();
+    gateway.signal("TERM");
     let signalled_at = Instant::now();
     while signalled_at.elapsed() < Duration::from_secs(3) {
-        if let Some(status) = starting.child.try_wait().unwrap() {
+        if let Some(status) = gateway.child.try_wait().unwrap() {
             assert_eq!(status.code(), Some(0));
             return;
         }
         sleep(ms(10));
     }
-    panic!("the gateway did not exit");
+    panic!("the gateway did not exit within 3 s of SIGTERM");
 }
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -1,10 +1,10 @@
-//! No attempt is started for a client that has disconnected: also where unread requests precede its close, where its query
-//! waits in a key queue, where it disconnected while the gateway process was stopped, and where hundreds disconnect at
-//! once. The stand-in engine records what it received and when.
+//! No attempt is started for a client that has disconnected. The gateway may notice the disconnect late: unread
+//! requests precede the close, the query waits in the queue of its key, the gateway process is stopped meanwhile, or
+//! hundreds of clients disconnect at once. A fake engine records which attempts it receives and when.
 
 mod helper;
 
-use helper::process::{ms, EngineProcess, ReceivedAttempt};
+use helper::process::{ms, FakeEngineProcess, ReceivedAttempt};
 use helper::*;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -12,8 +12,9 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-fn service(engine: &EngineProcess, change_more: impl Fn(&mut Value)) -> Service {
-    Service::start_with(|config| {
+/// Starts a test bed with this engine and no health checks.
+fn start_test_bed(engine: &FakeEngineProcess, change_more: impl Fn(&mut Value)) -> TestBed {
+    TestBed::start_with(|config| {
         config["known"]["results"] = json!([full_list_event(
             0,
             &[endpoint("s-0", engine.address, "SERVING")]
@@ -23,30 +24,32 @@
     })
 }
 
-/// Formats a request as its client writes it.
+/// Formats a request of the query class `group` as its client writes it.
 fn request_text(id: &str, group: &str, more: &str, statement: &str) -> String {
     let headers = request_headers(id, 3000) + more;
     let length = statement.len();
     format!("POST /v1/{group} HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: {length}\r\n\r\n{statement}")
 }
 
-fn send_keyed(service: &Service, id: &str, statement: &str) -> TcpStream {
-    let mut stream = service.open();
+/// Sends a non-idempotent query with an ordering key and returns its connection.
+fn send_keyed(test_bed: &TestBed, id: &str, statement: &str) -> TcpStream {
+    let mut stream = test_bed.open();
     stream
         .write_all(request_text(id, "load", "X-Item: 7f3a9c21e0b4d655\r\n", statement).as_bytes())
         .unwrap();
     stream
 }
 
-fn attempt_of(engine: &EngineProcess, id: &str) -> Option<ReceivedAttempt> {
+/// Returns the attempt that the engine received for a query, if any.
+fn attempt_of(engine: &FakeEngineProcess, id: &str) -> Option<ReceivedAttempt> {
     engine
         .attempts()
         .into_iter()
         .find(|attempt| attempt.id == id)
 }
 
-/// Lets a running attempt succeed now.
-fn finish_attempt(engine: &EngineProcess, id: &str) {
+/// Makes a running attempt succeed now.
+fn finish_attempt(engine: &FakeEngineProcess, id: &str) {
     let mut state = engine.state();
     state
         .attempts
@@ -55,12 +58,13 @@
         .for_each(|attempt| attempt.run_time = ms(0));
 }
 
-/// Pipelines two requests on one connection, the second with `filling` bytes of comment, then disconnects by `disconnect`.
+/// Sends two requests on one connection, the second with `filling` bytes of comment, and disconnects by `disconnect`.
+/// Asserts that the first attempt is cancelled at once and that the second never starts.
 fn assert_disconnect_behind_pipelined_request(filling: usize, disconnect: impl Fn(TcpStream)) {
-    let engine = EngineProcess::start();
-    let service = service(&engine, |_| {});
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(&engine, |_| {});
     let (first, second) = (new_id(), new_id());
-    let mut stream = service.open();
+    let mut stream = test_bed.open();
     let calls = request_text(&first, "report", "", "SELECT 1 /* runs 700 */")
         + &request_text(
             &second,
@@ -69,7 +73,7 @@
             &format!("SELECT 2 /* {} */", "x".repeat(filling)),
         );
     stream.write_all(calls.as_bytes()).unwrap();
-    wait_until("the first attempt", || {
+    wait_until("the engine receives the first attempt", || {
         attempt_of(&engine, &first).is_some()
     });
     disconnect(stream);
@@ -79,12 +83,12 @@
     let out = attempt_of(&engine, &first).unwrap();
     assert!(
         out.stopped_at.unwrap() < out.received_at + ms(500),
-        "cancelled only after it had ended"
+        "the attempt should be cancelled within 0.5 s"
     );
     sleep(ms(600));
     assert!(
         attempt_of(&engine, &second).is_none(),
-        "forwarded for a disconnected client"
+        "the query of a disconnected client was forwarded"
     );
 }
 
@@ -93,7 +97,7 @@
     assert_disconnect_behind_pipelined_request(10, drop);
 }
 
-/// A close that the gateway sees only as a reset.
+/// The gateway sees the close only as a reset.
 #[test]
 fn reset_behind_a_pipelined_request_counts_as_disconnect() {
     assert_disconnect_behind_pipelined_request(10, |stream| {
@@ -107,7 +111,7 @@
 fn half_close_behind_a_pipelined_request_counts_as_disconnect() {
     assert_disconnect_behind_pipelined_request(10, |stream| {
         stream.shutdown(Shutdown::Write).unwrap();
-        // The read side stays open for a while.
+        // The client can still read for a while.
         std::thread::spawn(move || {
             sleep(ms(2000));
             drop(stream);
@@ -115,54 +119,55 @@
     });
 }
 
-/// More than the gateway reads ahead: only the socket's state shows the close behind it.
+/// The second request exceeds what the gateway reads ahead, so that only the state of the socket shows the close.
 #[test]
 fn close_behind_more_than_is_read_ahead_cancels_both_queries() {
     assert_disconnect_behind_pipelined_request(60_000, drop);
 }
 
-/// The preceding query of the key ends within the time in which a disconnected client may reconnect.
+/// The preceding query of the key ends while the disconnected client may still reconnect.
 #[test]
 fn key_turn_just_after_the_client_disconnected_starts_no_attempt() {
-    let engine = EngineProcess::start();
-    let service = service(&engine, |config| {
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(&engine, |config| {
         config["settings"]["rules"]["order-pause"] = json!(0.0)
     });
     let (first, second, third) = (new_id(), new_id(), new_id());
-    let _first = send_keyed(&service, &first, "INSERT 1 /* runs 2500 */");
-    wait_until("the first attempt", || {
+    let _first = send_keyed(&test_bed, &first, "INSERT 1 /* runs 2500 */");
+    wait_until("the engine receives the first attempt", || {
         attempt_of(&engine, &first).is_some()
     });
-    let disconnecting = send_keyed(&service, &second, "INSERT 2");
+    let disconnecting = send_keyed(&test_bed, &second, "INSERT 2");
     sleep(ms(50));
     drop(disconnecting);
-    let _third = send_keyed(&service, &third, "INSERT 3");
+    let _third = send_keyed(&test_bed, &third, "INSERT 3");
     sleep(ms(10));
     finish_attempt(&engine, &first);
-    wait_until("the third attempt", || {
+    wait_until("the engine receives the third attempt", || {
         attempt_of(&engine, &third).is_some()
     });
     assert!(
         attempt_of(&engine, &second).is_none(),
-        "forwarded for a disconnected client"
+        "the query of a disconnected client was forwarded"
     );
 }
 
-/// A query whose client lost its connection is kept for a client that reconnects at once.
+/// A query whose client has lost its connection is kept for a short time, in which the client may reconnect.
 #[test]
 fn client_that_reconnects_at_once_is_served() {
-    let engine = EngineProcess::start();
-    let service = service(&engine, |config| {
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(&engine, |config| {
         config["settings"]["rules"]["order-pause"] = json!(0.0)
     });
     let (first, second) = (new_id(), new_id());
-    let _first = send_keyed(&service, &first, "INSERT 1 /* runs 300 */");
-    wait_until("the first attempt", || {
+    let _first = send_keyed(&test_bed, &first, "INSERT 1 /* runs 300 */");
+    wait_until("the engine receives the first attempt", || {
         attempt_of(&engine, &first).is_some()
     });
-    drop(send_keyed(&service, &second, "INSERT 2"));
-    let again = send_keyed(&service, &second, "INSERT 2");
-    let answer = read_message(&mut std::io::BufReader::new(again)).expect("an answer");
+    drop(send_keyed(&test_bed, &second, "INSERT 2"));
+    let again = send_keyed(&test_bed, &second, "INSERT 2");
+    let answer =
+        read_message(&mut std::io::BufReader::new(again)).expect("an answer should arrive");
     assert!(Answer::of(answer).succeeded());
     assert_eq!(
         engine
@@ -174,20 +179,20 @@
     );
 }
 
-/// A request and its client's close both arrive while the gateway process is stopped.
+/// A request and the close of its connection both arrive while the gateway process is stopped.
 #[test]
 fn request_whose_client_disconnected_before_it_was_read_is_not_forwarded() {
-    let engine = EngineProcess::start();
-    let service = service(&engine, |_| {});
-    let kept = service.open();
-    service.pause();
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(&engine, |_| {});
+    let kept = test_bed.open();
+    test_bed.pause();
     let ids: Vec<String> = (0..20).map(|_| new_id()).collect();
     for (n, id) in ids.iter().enumerate() {
-        // One on an open connection, the others on new ones.
+        // The first request uses an open connection, the others new ones.
         let mut stream = if n == 0 {
             kept.try_clone().unwrap()
         } else {
-            service.open()
+            test_bed.open()
         };
         stream
             .write_all(request_text(id, "report", "", "SELECT 1").as_bytes())
@@ -196,77 +201,80 @@
     }
     drop(kept);
     sleep(ms(150));
-    service.signal("CONT");
-    assert!(service.query("report", "SELECT 9").succeeded());
+    test_bed.signal("CONT");
+    assert!(test_bed.query("report", "SELECT 9").succeeded());
     sleep(ms(300));
     let sent = ids
         .iter()
         .filter(|id| attempt_of(&engine, id).is_some())
         .count();
-    assert_eq!(sent, 0, "requests forwarded for disconnected clients");
+    assert_eq!(
+        sent, 0,
+        "number of queries forwarded for disconnected clients"
+    );
 }
 
-/// A query's key turn comes and its client disconnects while the gateway process is stopped.
+/// While the gateway process is stopped, the preceding query of the key ends and the next query's client disconnects.
 #[test]
 fn simultaneous_key_turn_and_disconnect_start_no_attempt() {
-    let engine = EngineProcess::start();
-    let service = service(&engine, |config| {
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(&engine, |config| {
         config["settings"]["rules"]["order-pause"] = json!(0.0)
     });
     for _ in 0..5 {
         let (first, second) = (new_id(), new_id());
-        let first_call = send_keyed(&service, &first, "INSERT 1 /* runs 2500 */");
-        wait_until("the first attempt", || {
+        let first_call = send_keyed(&test_bed, &first, "INSERT 1 /* runs 2500 */");
+        wait_until("the engine receives the first attempt", || {
             attempt_of(&engine, &first).is_some()
         });
-        let disconnecting = send_keyed(&service, &second, "INSERT 2");
+        let disconnecting = send_keyed(&test_bed, &second, "INSERT 2");
         sleep(ms(50));
-        service.pause();
+        test_bed.pause();
         drop(disconnecting);
         finish_attempt(&engine, &first);
         sleep(ms(100));
-        service.signal("CONT");
+        test_bed.signal("CONT");
         assert!(
             Answer::of(read_message(&mut std::io::BufReader::new(first_call)).unwrap()).succeeded()
         );
         sleep(ms(200));
         assert!(
             attempt_of(&engine, &second).is_none(),
-            "forwarded for a disconnected client"
+            "the query of a disconnected client was forwarded"
         );
     }
 }
 
-/// Hundreds of queries wait in one key queue; all their clients disconnect in one burst.
+/// 250 queries wait in the queue of one key when all their clients disconnect at once.
 #[test]
 fn hundreds_of_simultaneous_disconnects_start_no_attempt_afterwards() {
-    let engine = EngineProcess::start();
-    let service = service(&engine, |config| {
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(&engine, |config| {
         config["limits"]["sockets"] = json!(1024);
         config["settings"]["rules"]["order-pause"] = json!(0.0);
     });
     let ids: Vec<String> = (0..250).map(|_| new_id()).collect();
     let calls: Vec<TcpStream> = ids
         .iter()
-        .map(|id| send_keyed(&service, id, "INSERT 1 /* runs 20 */"))
+        .map(|id| send_keyed(&test_bed, id, "INSERT 1 /* runs 20 */"))
         .collect();
     wait_until("some attempts", || engine.attempts().len() > 3);
-    let left = Instant::now();
+    let disconnected_at = Instant::now();
     drop(calls);
     sleep(ms(800));
     let late: Vec<_> = engine
         .attempts()
         .iter()
         .map(|attempt| attempt.received_at)
-        .filter(|came| *came > left + ms(100))
+        .filter(|received_at| *received_at > disconnected_at + ms(100))
         .collect();
     assert!(
         late.is_empty(),
-        "{} attempts started later than 0.1 s after",
+        "{} attempts started more than 0.1 s after the disconnects",
         late.len()
     );
     assert!(
-        service.query("report", "SELECT 1").succeeded(),
-        "other clients are served"
+        test_bed.query("report", "SELECT 1").succeeded(),
+        "another client should be served"
     );
 }
--- a/crates/gateway/tests/log.rs
+++ b/crates/gateway/tests/log.rs
@@ -1,4 +1,5 @@
-//! The reader of the gateway's log stalls or closes the pipe: serving neither waits for it nor ends.
+//! Guards against a gateway that waits for the reader of its log, or ends with it. The reader stalls until the pipe is
+//! full, or closes the pipe; queries are still answered, and SIGTERM still ends the gateway in time.
 
 mod helper;
 
@@ -7,10 +8,10 @@
 use std::process::{Child, Stdio};
 use std::time::{Duration, Instant};
 
-/// Each query writes some lines at the debug level: together more than a pipe buffers.
+/// Number of queries. Their log lines at the debug level exceed the buffer of a pipe.
 const QUERIES: usize = 400;
 
-/// Starts a gateway that logs every outcome into a pipe.
+/// Starts a gateway that logs at the debug level into a pipe that nobody reads.
 fn serve_with_debug_log(config: &serde_json::Value) -> Child {
     let mut command = gateway_command(&["serve"]);
     command
@@ -23,11 +24,11 @@
         .unwrap()
 }
 
-/// Asserts that all queries succeed and that SIGTERM ends the gateway with 0 in time.
-fn assert_serves_and_exits(mut service: Service) {
+/// Asserts that all queries succeed and that the gateway exits with code 0 within 5 s of SIGTERM.
+fn assert_serves_and_exits(mut test_bed: TestBed) {
     for n in 0..QUERIES {
         let began = Instant::now();
-        let stream = service.open();
+        let stream = test_bed.open();
         stream
             .set_read_timeout(Some(Duration::from_secs(3)))
             .unwrap();
@@ -39,32 +40,37 @@
         );
         assert!(
             answer.map(Answer::of).is_some_and(|a| a.succeeded()),
-            "query {n} after {:?}",
+            "query {n} was not answered with rows, after {:?}",
             began.elapsed()
         );
     }
-    service.signal("TERM");
+    test_bed.signal("TERM");
     let signalled_at = Instant::now();
     let ended = std::iter::repeat_with(|| {
         std::thread::sleep(ms(20));
-        service.child.try_wait().unwrap()
+        test_bed.child.try_wait().unwrap()
     });
     let status = ended
         .take_while(|_| signalled_at.elapsed() < Duration::from_secs(5))
         .flatten()
         .next();
-    assert_eq!(status.expect("the gateway exits").code(), Some(0));
+    assert_eq!(
+        status
+            .expect("the gateway should exit within 5 s of SIGTERM")
+            .code(),
+        Some(0)
+    );
 }
 
 #[test]
 fn stalled_log_reader_does_not_stop_the_gateway() {
-    let service = Service::start_with_launcher(|_| {}, serve_with_debug_log);
-    assert_serves_and_exits(service);
+    let test_bed = TestBed::start_with_launcher(|_| {}, serve_with_debug_log);
+    assert_serves_and_exits(test_bed);
 }
 
 #[test]
 fn closed_log_reader_does_not_end_the_gateway() {
-    let mut service = Service::start_with_launcher(|_| {}, serve_with_debug_log);
-    drop(service.child.stderr.take());
-    assert_serves_and_exits(service);
+    let mut test_bed = TestBed::start_with_launcher(|_| {}, serve_with_debug_log);
+    drop(test_bed.child.stderr.take());
+    assert_serves_and_exits(test_bed);
 }
--- a/crates/gateway/tests/machine_faults.rs
+++ b/crates/gateway/tests/machine_faults.rs
@@ -1,15 +1,16 @@
-//! System calls that fail as documented for Linux, on a serving gateway: short reads and writes, interrupted calls,
-//! temporary failures of accept and socket.
+//! A serving gateway whose system calls fail as Linux documents it: short reads and writes, interrupted calls, and
+//! temporary failures of accept, socket and connect.
 
 mod helper;
 
 use helper::faults::Faults;
-use helper::process::{ms, EngineProcess};
+use helper::process::{ms, FakeEngineProcess};
 use helper::*;
 use serde_json::{json, Value};
 use std::process::{Child, Stdio};
 use std::time::{Duration, Instant};
 
+/// Returns a launcher of gateways with these faults.
 fn serve_with(faults: &Faults) -> impl Fn(&Value) -> Child + '_ {
     move |config| {
         let mut command = gateway_command(&["serve"]);
@@ -21,13 +22,14 @@
     }
 }
 
-/// Sends queries one after another on keep-alive and new connections, some with long statements, and asserts that all succeed.
-fn assert_all_succeed(service: &Service, queries: usize) {
+/// Sends queries one after another, on connections that are replaced after five queries, every fourth with a long
+/// statement. Asserts that all succeed.
+fn assert_all_succeed(test_bed: &TestBed, queries: usize) {
     let long = format!("SELECT '{}' FROM sales_1.orders", "x".repeat(60_000));
-    let mut keep_alive = service.open();
+    let mut keep_alive = test_bed.open();
     for n in 0..queries {
         if n % 5 == 0 {
-            keep_alive = service.open();
+            keep_alive = test_bed.open();
         }
         keep_alive
             .set_read_timeout(Some(Duration::from_secs(4)))
@@ -47,7 +49,7 @@
         let answer = answer.map(Answer::of);
         assert!(
             answer.as_ref().is_some_and(Answer::succeeded),
-            "query {n} after {:?}: {answer:?}",
+            "query {n} failed after {:?}: {answer:?}",
             began.elapsed()
         );
     }
@@ -58,7 +60,7 @@
     let faults = Faults::new();
     faults.enable("short", "2");
     assert_all_succeed(
-        &Service::start_with_launcher(|_| {}, serve_with(&faults)),
+        &TestBed::start_with_launcher(|_| {}, serve_with(&faults)),
         40,
     );
 }
@@ -69,12 +71,12 @@
     faults.enable("eintr", "2");
     faults.enable("waits", "3");
     assert_all_succeed(
-        &Service::start_with_launcher(|_| {}, serve_with(&faults)),
+        &TestBed::start_with_launcher(|_| {}, serve_with(&faults)),
         40,
     );
 }
 
-/// A temporary failure to create the listening socket, or an address still in use, does not end the gateway.
+/// The gateway retries when the system has no socket for it, and when its address is still in use.
 #[test]
 fn bind_is_retried_when_the_system_has_no_socket() {
     // EMFILE, ENFILE, ENOBUFS, ENOMEM.
@@ -87,7 +89,7 @@
             later.disable("socket");
         });
         assert_all_succeed(
-            &Service::start_with_launcher(|_| {}, serve_with(&faults)),
+            &TestBed::start_with_launcher(|_| {}, serve_with(&faults)),
             1,
         );
     }
@@ -102,20 +104,20 @@
         occupied.lock().unwrap().take();
         child
     };
-    assert_all_succeed(&Service::start_with_launcher(occupy_address, serve), 1);
+    assert_all_succeed(&TestBed::start_with_launcher(occupy_address, serve), 1);
 }
 
-/// Failed accepts delay new clients only slightly.
+/// Every second accept fails, and 200 clients connect at once.
 #[test]
 fn failed_accepts_delay_no_client() {
     let faults = Faults::new();
-    let service = Service::start_with_launcher(
+    let test_bed = TestBed::start_with_launcher(
         |config| config["limits"]["sockets"] = json!(1024),
         serve_with(&faults),
     );
     faults.enable("accept", "2");
     let began = Instant::now();
-    let open: Vec<_> = (0..200).map(|_| service.open()).collect();
+    let open: Vec<_> = (0..200).map(|_| test_bed.open()).collect();
     for stream in &open {
         send_request(
             stream,
@@ -131,57 +133,62 @@
         let answer = read_message(&mut std::io::BufReader::new(stream)).map(Answer::of);
         assert!(
             answer.is_some_and(|a| a.succeeded()),
-            "after {:?}",
+            "a client got no rows, after {:?}",
             began.elapsed()
         );
     }
-    assert!(began.elapsed() < ms(1000), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < ms(1000),
+        "answered after {:?}",
+        began.elapsed()
+    );
 }
 
-/// EADDRNOTAVAIL, ENOBUFS and ENETUNREACH at connect are faults of the local machine. Queries are rejected, none fails, and
-/// once the fault has passed the engine is used at once.
+/// EADDRNOTAVAIL, ENOBUFS and ENETUNREACH at connect are faults of the local machine. Queries are rejected and none
+/// counts as failed, and the engine is used again as soon as the fault has passed.
 #[test]
 fn local_connect_faults_are_not_attributed_to_an_engine() {
     for code in [99, 105, 101] {
         let faults = Faults::new();
-        let service = Service::start_with_launcher(|_| {}, serve_with(&faults));
-        assert_all_succeed(&service, 3);
+        let test_bed = TestBed::start_with_launcher(|_| {}, serve_with(&faults));
+        assert_all_succeed(&test_bed, 3);
         faults.enable("connect", &format!("1 {code}"));
         let began = Instant::now();
         while began.elapsed() < ms(1000) {
-            let answer = service.query("load", "INSERT 1");
-            assert_eq!(answer.status, 503, "{code}: {answer:?}");
+            let answer = test_bed.query("load", "INSERT 1");
+            assert_eq!(answer.status, 503, "connect fails with {code}: {answer:?}");
         }
         faults.disable("connect");
         let recovered_at = Instant::now();
-        assert_all_succeed(&service, 1);
+        assert_all_succeed(&test_bed, 1);
         assert!(
             recovered_at.elapsed() < ms(300),
-            "{code}: used again only after {:?}",
+            "connect failed with {code}: the engine is used again only after {:?}",
             recovered_at.elapsed()
         );
     }
 }
 
-/// Connections lost with ETIMEDOUT or EHOSTUNREACH prove nothing: a query that may have run is not sent again.
+/// A connection lost with ETIMEDOUT or EHOSTUNREACH does not prove that an attempt has ended: a query that may have run
+/// is not sent again.
 #[test]
 fn connection_timeout_proves_nothing() {
     for code in [110, 113] {
-        let (engine, faults) = (EngineProcess::start(), Faults::new());
+        let (engine, faults) = (FakeEngineProcess::start(), Faults::new());
         let one_engine = |config: &mut Value| {
             config["known"]["results"] = json!([full_list_event(
                 0,
                 &[endpoint("s-0", engine.address, "SERVING")]
             )]);
         };
-        let service = Service::start_with_launcher(one_engine, serve_with(&faults));
+        let test_bed = TestBed::start_with_launcher(one_engine, serve_with(&faults));
         faults.enable("broken", &format!("12 {code}"));
         for _ in 0..60 {
             let id = new_id();
             let statement = format!("INSERT {id} /* runs 5 */");
-            // The client's connection may break as well.
+            // The fault may break the client's connection as well.
             let _ = round_trip(
-                service.open(),
+                test_bed.open(),
                 "POST /v1/load",
                 &request_headers(&id, 1000),
                 &statement,
@@ -192,22 +199,25 @@
         ids.sort();
         let sent = ids.len();
         ids.dedup();
-        assert_eq!(ids.len(), sent, "{code}: run twice");
-        assert!(sent > 20, "{code}: {sent} received");
+        assert_eq!(ids.len(), sent, "calls fail with {code}: a query ran twice");
+        assert!(
+            sent > 20,
+            "calls fail with {code}: only {sent} attempts received"
+        );
     }
 }
 
-/// What happened: in seed 111 of the soak, with one in ten calls interrupted and deadlines of 500 ms, the gateway was still
-/// running at its kill 1.2 s after SIGTERM, in 1 of 6 runs, and in 6 of 10 of the program before. The cause: the write by
-/// which the signal handler wakes the gateway was interrupted, and the flags were polled every 250 ms only, while the shutdown
-/// ends 100 ms before the earliest kill. The evidence: with every such write interrupted the gateway exited 1.33 s after
-/// SIGTERM. The flags are now polled every 50 ms.
+/// Guards against a shutdown that begins too late. The write by which the signal handler wakes the gateway was
+/// interrupted, and the gateway polled the flags of the signals only every 250 ms, while its shutdown ends 100 ms
+/// before the earliest kill. In seed 111 of the soak test, with one in ten calls interrupted and deadlines of 500 ms,
+/// the gateway was still running at its kill 1.2 s after SIGTERM in 1 of 6 runs, and in 6 of 10 runs of the version
+/// before. With every such write interrupted it exited 1.33 s after SIGTERM. The flags are now polled every 50 ms.
 #[test]
 fn signal_with_a_lost_wakeup_is_handled_in_time() {
     const DEADLINE: u64 = 500;
     for _ in 0..6 {
         let faults = Faults::new();
-        let mut service = Service::start_with_launcher(
+        let mut test_bed = TestBed::start_with_launcher(
             |config| {
                 for n in 0..2 {
                     config["settings"]["categories"][n]["give-up"] = json!(DEADLINE as f64);
@@ -216,8 +226,8 @@
             serve_with(&faults),
         );
         faults.enable("wake", "1");
-        // Each query of this client lasts until its deadline.
-        let address = service.address;
+        // Each query of this client takes until its deadline.
+        let address = test_bed.address;
         let client = std::thread::spawn(move || {
             while let Ok(stream) = std::net::TcpStream::connect(address) {
                 let slow = "SELECT 1 /* keeps delete */";
@@ -234,14 +244,14 @@
             }
         });
         std::thread::sleep(ms(20));
-        service.signal("TERM");
+        test_bed.signal("TERM");
         let signalled_at = Instant::now();
-        assert!(service.child.wait().unwrap().success());
+        assert!(test_bed.child.wait().unwrap().success());
         let took = signalled_at.elapsed();
         client.join().unwrap();
         assert!(
             took < ms(700 + DEADLINE),
-            "ended {took:?} after SIGTERM: a kill may have come before"
+            "the gateway exited {took:?} after SIGTERM, and a kill may come earlier"
         );
     }
 }
--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -1,5 +1,6 @@
-//! A gateway with a plan, over sockets: it routes, restricts and limits as `plan explain` says; a faulty plan at SIGHUP is
-//! logged with line and cause and the old plan stays, under load. Also the plan commands with their exit codes.
+//! A gateway with a plan, over sockets. It routes, restricts and limits queries as `plan explain` says. A faulty plan
+//! at SIGHUP is logged with its line and cause, and the old plan stays in force under load. The plan commands exit with
+//! their codes.
 
 mod helper;
 
@@ -12,7 +13,7 @@
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
 
-/// Writes a file with a unique name.
+/// Writes a new file whose name ends with `name` and returns its path.
 fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
         "{}-{}-{name}",
@@ -23,10 +24,10 @@
     path
 }
 
-/// A gateway with a plan, two engines `s-1` (the helper's) and `s-2`, and its log.
+/// A gateway with a plan and two engines: `s-1` of the test bed and `s-2`. Its log is written to a file.
 struct PlannedGateway {
-    service: Service,
-    second: Engine,
+    test_bed: TestBed,
+    second: FakeEngine,
     plan: PathBuf,
     log: PathBuf,
 }
@@ -36,10 +37,10 @@
         let (plan, log, second) = (
             write_file("a.plan", text),
             write_file("log", ""),
-            Engine::start(),
+            FakeEngine::start(),
         );
         let at = second.address;
-        let service = Service::start_with_launcher(
+        let test_bed = TestBed::start_with_launcher(
             |config| {
                 let servers = config["known"]["results"][0]["fleet"]["servers"]
                     .as_array_mut()
@@ -55,18 +56,20 @@
             },
         );
         PlannedGateway {
-            service,
+            test_bed,
             second,
             plan,
             log,
         }
     }
 
+    /// Replaces the plan file and sends SIGHUP.
     fn reload(&self, text: &str) {
         std::fs::write(&self.plan, text).unwrap();
-        self.service.signal("HUP");
+        self.test_bed.signal("HUP");
     }
 
+    /// Waits until the log contains these words and returns the log.
     fn wait_until_logged(&self, words: &str) -> String {
         wait_until(words, || {
             std::fs::read_to_string(&self.log).unwrap().contains(words)
@@ -74,18 +77,21 @@
         std::fs::read_to_string(&self.log).unwrap()
     }
 
+    /// Returns the numbers of attempts at `s-1` and at `s-2`.
     fn attempts_per_engine(&self) -> (usize, usize) {
         (
-            self.service.engine.requests("POST"),
+            self.test_bed.engine.requests("POST"),
             self.second.requests("POST"),
         )
     }
 }
 
+/// Runs the program with these arguments until it exits.
 fn run(arguments: &[&str]) -> Output {
     gateway_command(arguments).output().unwrap()
 }
 
+/// Returns standard output followed by standard error.
 fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
@@ -122,50 +128,50 @@
 #[test]
 fn queries_are_routed_as_explain_says() {
     let gateway = PlannedGateway::start(ROUTES);
-    let service = &gateway.service;
+    let test_bed = &gateway.test_bed;
     for n in 0..10 {
-        assert!(service.query("report", &format!("SELECT {n}")).succeeded());
+        assert!(test_bed.query("report", &format!("SELECT {n}")).succeeded());
     }
     assert_eq!(
         gateway.attempts_per_engine(),
         (0, 10),
-        "reports are bound to the second engine"
+        "reports should go to the second engine alone"
     );
     for n in 0..5 {
-        assert!(service.query("load", &format!("INSERT {n}")).succeeded());
+        assert!(test_bed.query("load", &format!("INSERT {n}")).succeeded());
     }
     assert_eq!(
         gateway.attempts_per_engine(),
         (5, 10),
-        "loads prefer the first"
+        "loads should prefer the first engine"
     );
-    service.log.publish(list_change_event(
+    test_bed.log.publish(list_change_event(
         1,
-        &[endpoint("s-1", service.engine.address, "DRAINING")],
+        &[endpoint("s-1", test_bed.engine.address, "DRAINING")],
     ));
-    wait_until("the drain", || {
-        service.query("load", "INSERT").succeeded() && gateway.attempts_per_engine().1 > 10
+    wait_until("the drain is applied", || {
+        test_bed.query("load", "INSERT").succeeded() && gateway.attempts_per_engine().1 > 10
     });
     let before = gateway.attempts_per_engine().0;
-    assert!(service.query("load", "INSERT").succeeded());
+    assert!(test_bed.query("load", "INSERT").succeeded());
     assert_eq!(
         gateway.attempts_per_engine().0,
         before,
-        "the second preference, as the first has none left"
+        "loads should go to the second pool, as the first has no engine left"
     );
-    service.log.publish(list_change_event(
+    test_bed.log.publish(list_change_event(
         2,
         &[endpoint("s-2", gateway.second.address, "DELETED")],
     ));
-    service.log.publish(list_change_event(
+    test_bed.log.publish(list_change_event(
         3,
-        &[endpoint("s-3", service.engine.address, "SERVING")],
+        &[endpoint("s-3", test_bed.engine.address, "SERVING")],
     ));
     sleep(Duration::from_millis(200));
-    let answer = service.query_with_id(&new_id(), "report", 400, "SELECT 1");
+    let answer = test_bed.query_with_id(&new_id(), "report", 400, "SELECT 1");
     assert_eq!(
         answer.status, 503,
-        "bound to a removed engine, it is sent to no other: {answer:?}"
+        "a query bound to a removed engine should be rejected: {answer:?}"
     );
     assert_eq!(gateway.attempts_per_engine().0, before);
 
@@ -174,7 +180,7 @@
         request_headers(&new_id(), 3000)
     );
     let refused =
-        Answer::of(round_trip(service.open(), "POST /v1/load", &key, "INSERT 1").unwrap());
+        Answer::of(round_trip(test_bed.open(), "POST /v1/load", &key, "INSERT 1").unwrap());
     assert_eq!(refused.status, 503);
     assert_eq!(
         refused.json,
@@ -196,12 +202,12 @@
     let load = explain(&["--group", "load"]);
     assert!(
         load.contains("1. pool `one`") && load.contains("2. pool `two`"),
-        "{load}"
+        "`plan explain` lacks the pools: {load}"
     );
     assert!(
         load.contains("does not match: route `night-watch`")
             && load.contains("because of its entry `key`"),
-        "{load}"
+        "`plan explain` lacks the route that does not match: {load}"
     );
     assert!(explain(&["--group", "load", "--key", "1"])
         .contains("rejected: loads with a key are closed"));
@@ -214,65 +220,70 @@
          limit loads {\n  group load\n  in-hand 1\n}\n\
          group load {\n  statement 100B\n}\n",
     );
-    let service = &gateway.service;
+    let test_bed = &gateway.test_bed;
     for _ in 0..2 {
-        assert!(service.query("report", "SELECT 1").succeeded());
+        assert!(test_bed.query("report", "SELECT 1").succeeded());
     }
     let began = Instant::now();
-    let third = service.query("report", "SELECT 1");
+    let third = test_bed.query("report", "SELECT 1");
     assert!(
         began.elapsed() < Duration::from_millis(200),
-        "at once: {:?}",
+        "the rejection took {:?}",
         began.elapsed()
     );
     assert_eq!(
         (third.status, &third.json["reason"]),
         (503, &json!("over the limit each (Rate)"))
     );
-    let wait = third.retry_after_ms.expect("a Retry-After");
-    assert!((10..=250).contains(&wait), "{wait}");
+    let wait = third
+        .retry_after_ms
+        .expect("the rejection should carry x-wait-ms");
+    assert!((10..=250).contains(&wait), "Retry-After of {wait} ms");
     sleep(Duration::from_millis(wait + 5));
     assert!(
-        service.query("report", "SELECT 1").succeeded(),
-        "then there is capacity"
+        test_bed.query("report", "SELECT 1").succeeded(),
+        "the limit should admit a query after the Retry-After"
     );
 
-    let (slow, id) = (service.open(), new_id());
+    let (slow, id) = (test_bed.open(), new_id());
     send_request(
         &slow,
         "POST /v1/load",
         &request_headers(&id, 3000),
         "INSERT /* slow */",
     );
-    wait_until("the start", || {
+    wait_until("the engine receives the start", || {
         gateway.attempts_per_engine() != (3, 0)
             && gateway.attempts_per_engine().0 + gateway.attempts_per_engine().1 == 4
     });
-    let second = service.query("load", "INSERT");
+    let second = test_bed.query("load", "INSERT");
     assert_eq!(
         (second.status, &second.json["reason"]),
         (503, &json!("over the limit loads (InHand)"))
     );
-    // A repeated request is not another query.
-    let repeated = service.query_with_id(&id, "load", 3000, "INSERT /* slow */");
-    assert!(repeated.succeeded(), "{repeated:?}");
+    // A repeated request does not count as another query.
+    let repeated = test_bed.query_with_id(&id, "load", 3000, "INSERT /* slow */");
+    assert!(
+        repeated.succeeded(),
+        "the repeated request should join its query: {repeated:?}"
+    );
     assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded());
     assert!(
-        service.query("load", "INSERT").succeeded(),
-        "capacity again"
+        test_bed.query("load", "INSERT").succeeded(),
+        "the limit should admit a query again"
     );
-    assert_eq!(service.query("load", &"x".repeat(101)).status, 413);
+    assert_eq!(test_bed.query("load", &"x".repeat(101)).status, 413);
 }
 
 #[test]
 fn time_limit_of_the_plan_applies_though_the_client_allows_more() {
     let gateway = PlannedGateway::start("group report {\n  limit 500ms\n}\n");
     let began = Instant::now();
-    let answer = gateway.service.query("report", "SELECT 1 /* very slow */");
+    let answer = gateway.test_bed.query("report", "SELECT 1 /* very slow */");
     assert_eq!(answer.status, 503);
     assert!(
         began.elapsed() < Duration::from_millis(600),
-        "{:?}",
+        "it took {:?}",
         began.elapsed()
     );
 }
@@ -280,19 +291,19 @@
 #[test]
 fn plan_error_is_logged_with_line_and_cause_and_the_old_plan_stays_under_load() {
     let gateway = PlannedGateway::start(ROUTES);
-    let (service, stop) = (&gateway.service, AtomicBool::new(false));
+    let (test_bed, stop) = (&gateway.test_bed, AtomicBool::new(false));
     scope(|scope| {
         let load = scope.spawn(|| {
             let mut answers = 0;
             while !stop.load(Ordering::Relaxed) {
-                let answer = service.query("report", "SELECT 1");
-                assert!(answer.succeeded(), "{answer:?}");
+                let answer = test_bed.query("report", "SELECT 1");
+                assert!(answer.succeeded(), "expected rows: {answer:?}");
                 answers += 1;
             }
             answers
         });
-        // A query that is active while the plan changes keeps the plan that it was admitted under.
-        let (slow, reader) = (service.open(), service.open());
+        // A query that is active during the reload keeps the plan under which it was admitted.
+        let (slow, reader) = (test_bed.open(), test_bed.open());
         send_request(
             &slow,
             "POST /v1/load",
@@ -304,14 +315,14 @@
         let log = gateway.wait_until_logged("the previous one stays in force");
         assert!(
             log.contains("route `reports` may send queries of `report` to pool `one`, but their class is bound to `two`"),
-            "{log}"
+            "the log lacks the cause: {log}"
         );
-        assert!(log.contains("a.plan:21:3"), "{log}");
+        assert!(log.contains("a.plan:21:3"), "the log lacks the line: {log}");
         sleep(Duration::from_millis(100));
         assert_eq!(
             gateway.attempts_per_engine().0,
             1,
-            "reports stay with the second"
+            "number of attempts at the first engine under the old plan"
         );
         gateway.reload(
             &ROUTES
@@ -319,15 +330,15 @@
                 .replace("to two", "to one"),
         );
         gateway.wait_until_logged("plan updated");
-        wait_until("reports at the first", || {
+        wait_until("reports go to the first engine", || {
             gateway.attempts_per_engine().0 > 3
         });
         let before = gateway.attempts_per_engine().1;
-        assert!(service.query("report", "SELECT 1").succeeded());
+        assert!(test_bed.query("report", "SELECT 1").succeeded());
         sleep(Duration::from_millis(100));
         assert!(
             gateway.attempts_per_engine().1 <= before + 1,
-            "the second gets no more of them"
+            "the second engine should get no more reports under the new plan"
         );
         assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded());
         drop(reader);
@@ -338,7 +349,7 @@
 
 #[test]
 fn gateway_with_a_faulty_plan_does_not_start() {
-    let (engine, log) = (Engine::start(), ChangeLog::start());
+    let (engine, log) = (FakeEngine::start(), FakeChangeLog::start());
     let plan = write_file("b.plan", "pool one {\n  id s-1\n  knid std\n}\n");
     let config = write_config(&config(engine.address, log.address));
     let output = gateway_command(&["serve", "--plan", plan.to_str().unwrap()])
@@ -350,7 +361,7 @@
     assert!(
         error_text.contains("unknown entry `knid` in block `pool`")
             && error_text.contains("did you mean `kind`?"),
-        "{error_text}"
+        "the error lacks the cause or the suggestion: {error_text}"
     );
 }
 
@@ -405,7 +416,7 @@
     assert_eq!(
         code(&["plan", "fmt", &path_text(&unreadable)]),
         1,
-        "an unreadable file is not changed"
+        "a file that cannot be parsed should not be changed"
     );
     assert_eq!(
         std::fs::read_to_string(&unreadable).unwrap(),
@@ -416,10 +427,15 @@
     assert_eq!(json["pools"][0]["name"], json!("a"));
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example.plan");
     let checked = run(&["plan", "check", &path_text(&example)]);
-    assert_eq!(checked.status.code(), Some(0), "{}", output_text(&checked));
+    assert_eq!(
+        checked.status.code(),
+        Some(0),
+        "the example plan is not valid: {}",
+        output_text(&checked)
+    );
     assert_eq!(
         code(&["plan", "fmt", "--check", &path_text(&example)]),
         0,
-        "the example is formatted"
+        "the example plan should be formatted"
     );
 }
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -1,10 +1,10 @@
-//! A gateway with a journal, killed while non-idempotent queries are in flight: by the engine's count none runs twice, and
-//! its key is paused for what may still run.
+//! A gateway with a journal is killed while non-idempotent queries are in flight, or its disk fails. By the engine's
+//! count no query runs twice, and a key is paused for an attempt that may still run.
 
 mod helper;
 
 use helper::faults::Faults;
-use helper::process::{ms, EngineProcess};
+use helper::process::{ms, FakeEngineProcess};
 use helper::*;
 use serde_json::json;
 use std::collections::HashMap;
@@ -14,12 +14,13 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
+/// Header field with the ordering key of these tests.
 const KEY: &str = "X-Item: 7f3a9c21e0b4d655\r\n";
 
-/// A gateway that can be killed and restarted with the same address and journal.
+/// A gateway that can be killed and restarted at the same address and with the same journal.
 struct RestartableGateway {
-    engine: EngineProcess,
-    _log: ChangeLog,
+    engine: FakeEngineProcess,
+    _log: FakeChangeLog,
     config: PathBuf,
     plan: PathBuf,
     address: std::net::SocketAddr,
@@ -33,7 +34,7 @@
     }
 
     fn start_with(faults: Faults) -> RestartableGateway {
-        let (engine, log) = (EngineProcess::start(), ChangeLog::start());
+        let (engine, log) = (FakeEngineProcess::start(), FakeChangeLog::start());
         let mut settings_file = config(engine.address, log.address);
         settings_file["settings"]["categories"][1]["give-up"] = json!(8000.0);
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
@@ -54,7 +55,7 @@
         let config = write_config(&settings_file);
         let address = settings_file["listen"].as_str().unwrap().parse().unwrap();
         let child = RestartableGateway::serve(&config, &plan, &faults);
-        let lasting = RestartableGateway {
+        let gateway = RestartableGateway {
             engine,
             _log: log,
             config,
@@ -63,8 +64,8 @@
             faults,
             child,
         };
-        lasting.wait_until_healthy();
-        lasting
+        gateway.wait_until_healthy();
+        gateway
     }
 
     fn serve(config: &Path, plan: &Path, faults: &Faults) -> Child {
@@ -83,11 +84,12 @@
                 .ok()
                 .and_then(|s| round_trip(s, "GET /healthz", "", ""))
         };
-        wait_until("health", || {
+        wait_until("the gateway is healthy", || {
             health_response().is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
         });
     }
 
+    /// Kills the gateway, starts it again and waits until it is healthy.
     fn restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -95,6 +97,7 @@
         self.wait_until_healthy();
     }
 
+    /// Sends a non-idempotent query with the ordering key and returns its connection.
     fn send_load(&self, id: &str, statement: &str) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
         send_request(
@@ -130,7 +133,7 @@
     assert_eq!(
         (again.status, &again.json),
         (500, &json!({"error": "Failed"})),
-        "it may have run"
+        "a query that may have run should be answered as failed"
     );
     let next = Answer::of(
         read_message(&mut std::io::BufReader::new(
@@ -138,14 +141,17 @@
         ))
         .unwrap(),
     );
-    assert!(next.succeeded(), "{next:?}");
+    assert!(
+        next.succeeded(),
+        "the next query of the key should succeed: {next:?}"
+    );
     let all = gateway.engine.attempts();
-    assert_eq!(all.len(), 2, "one attempt each: {all:#?}");
+    assert_eq!(all.len(), 2, "expected one attempt of each query: {all:#?}");
     assert!(
         all[0].ended_at().unwrap() <= all[1].received_at,
-        "the key was paused for what still ran"
+        "the second attempt should start after the first one has ended"
     );
-    // An answered query does not delay the key after a restart.
+    // A query that was answered before the kill does not delay its key.
     gateway.restart();
     let third = Answer::of(
         read_message(&mut std::io::BufReader::new(
@@ -156,26 +162,28 @@
     assert!(third.succeeded());
 }
 
-/// Killed repeatedly, with clients that resend their queries: by the engine's count no query runs twice.
+/// The gateway is killed repeatedly, and clients send their queries again.
 #[test]
-fn killed_in_a_loop_no_non_idempotent_query_runs_twice() {
-    killed_in_a_loop(|_, _| {});
+fn no_non_idempotent_query_runs_twice_when_the_gateway_is_killed_repeatedly() {
+    assert_none_runs_twice_after_kills(|_, _| {});
 }
 
-/// The same with wall clock steps of seconds and of an hour, forward and back, between two processes.
+/// The wall clock steps by seconds or by an hour, forward or back, between two gateway processes.
 #[test]
-fn killed_in_a_loop_while_the_wall_clock_steps_none_runs_twice() {
-    killed_in_a_loop(|faults, round| {
+fn no_non_idempotent_query_runs_twice_when_the_wall_clock_steps_between_kills() {
+    assert_none_runs_twice_after_kills(|faults, round| {
         faults.enable("realtime", ["3600", "-3600", "7", "-7"][round as usize % 4])
     });
 }
 
-/// Number of kills; `GATEWAY_TEST_KILLS` overrides it.
+/// Returns the number of kills; `GATEWAY_TEST_KILLS` overrides the default.
 fn kills() -> u64 {
     std::env::var("GATEWAY_TEST_KILLS").map_or(12, |n| n.parse().unwrap())
 }
 
-fn killed_in_a_loop(before_restart: impl Fn(&Faults, u64)) {
+/// Kills the gateway in several rounds and asserts that no query ran twice. `before_restart` is called with the number
+/// of the round before each kill.
+fn assert_none_runs_twice_after_kills(before_restart: impl Fn(&Faults, u64)) {
     let mut gateway = RestartableGateway::start();
     let mut ids = Vec::new();
     for round in 0..kills() {
@@ -194,7 +202,7 @@
                 stream
             })
             .collect();
-        // From before the first record to after the last answer.
+        // The kills are spread over the time from before the first record to after the last answer.
         sleep(ms(round * 7 % 30).saturating_sub(began.elapsed()));
         before_restart(&gateway.faults, round);
         gateway.restart();
@@ -207,8 +215,11 @@
                 &request_headers(id, 7000),
                 &format!("INSERT {id} /* runs 3 */"),
             );
-            let answer = Answer::of(answer.expect("an answer"));
-            assert!([200, 500, 503].contains(&answer.status), "{answer:?}");
+            let answer = Answer::of(answer.expect("an answer should arrive"));
+            assert!(
+                [200, 500, 503].contains(&answer.status),
+                "expected 200, 500 or 503: {answer:?}"
+            );
         }
         ids.extend(round_ids);
     }
@@ -226,14 +237,14 @@
             .iter()
             .any(|attempt| attempt.id == id)
     };
-    assert!(twice.is_empty(), "run twice: {twice:?}");
+    assert!(twice.is_empty(), "queries ran twice: {twice:?}");
     assert!(
         ids.iter().filter(|id| known(id)).count() > 20,
-        "most reached the engine"
+        "more than 20 queries should have reached the engine"
     );
 }
 
-/// Duration of a disk fault; `GATEWAY_TEST_DISK_MS` overrides it.
+/// Returns the duration of a disk fault; `GATEWAY_TEST_DISK_MS` overrides the default.
 fn disk_fault_duration() -> Duration {
     ms(std::env::var("GATEWAY_TEST_DISK_MS").map_or(500, |n| n.parse().unwrap()))
 }
@@ -241,7 +252,7 @@
 const ENOSPC: i32 = 28;
 const EIO: i32 = 5;
 
-/// Calls that fail together: those of an append, and those that rewriting the file needs as well.
+/// Sets of calls that fail together: those that append a record, some with those that rewriting the file needs.
 const DISK_FAULTS: [&[&str]; 5] = [
     &["disk-write"],
     &["disk-sync"],
@@ -256,6 +267,7 @@
     ],
 ];
 
+/// Sends a non-idempotent query, which needs the journal, and returns the answer.
 fn load(gateway: &RestartableGateway) -> Answer {
     let stream = TcpStream::connect(gateway.address).unwrap();
     let id = new_id();
@@ -266,10 +278,11 @@
             &request_headers(&id, 3000),
             &format!("INSERT {id}"),
         )
-        .expect("an answer"),
+        .expect("an answer should arrive"),
     )
 }
 
+/// Sends an idempotent query, which needs no journal, and returns the answer.
 fn report(gateway: &RestartableGateway) -> Answer {
     let stream = TcpStream::connect(gateway.address).unwrap();
     Answer::of(
@@ -279,21 +292,24 @@
             &request_headers(&new_id(), 3000),
             "SELECT 1",
         )
-        .expect("an answer"),
+        .expect("an answer should arrive"),
     )
 }
 
-/// While the disk fails, queries that need no journal are served and those that need one are rejected at once; afterwards
-/// all are served again.
+/// Asserts that while the disk fails, queries that need no journal are served and others rejected at once, and that all
+/// are served again within 2 s of the end of the fault.
 fn assert_recovers_from_disk_fault(gateway: &RestartableGateway, calls: &[&str]) {
     let began = Instant::now();
     while began.elapsed() < disk_fault_duration() {
-        assert!(report(gateway).succeeded(), "{calls:?}");
+        assert!(
+            report(gateway).succeeded(),
+            "{calls:?} fail: a query that needs no journal failed"
+        );
         let sent_at = Instant::now();
         let rejected = load(gateway);
         assert!(
             !rejected.succeeded() && sent_at.elapsed() < ms(400),
-            "{calls:?}: {rejected:?} after {:?}",
+            "{calls:?} fail: expected a rejection within 0.4 s, {rejected:?} after {:?}",
             sent_at.elapsed()
         );
     }
@@ -302,7 +318,7 @@
     while !load(gateway).succeeded() {
         assert!(
             recovered_at.elapsed() < ms(2000),
-            "{calls:?}: not served again"
+            "{calls:?} failed: no query succeeds within 2 s of the end of the fault"
         );
         sleep(ms(20));
     }
@@ -312,7 +328,10 @@
         .attempts()
         .iter()
         .for_each(|attempt| *runs.entry(attempt.id.clone()).or_default() += 1);
-    assert!(runs.values().all(|n| *n == 1), "{calls:?}: run twice");
+    assert!(
+        runs.values().all(|n| *n == 1),
+        "{calls:?} failed: a query ran twice"
+    );
 }
 
 #[test]
@@ -328,26 +347,29 @@
     }
 }
 
-/// What happened: each sync took 0.8 s, and no non-idempotent query was sent, though all had seven seconds: each was answered
-/// as failed after 0.5 s. The cause was a bound on the journal write (`WRITTEN_IN`) shorter than the query's deadline; the
-/// evidence is `journal is too slow: a once-only batch was not sent` for each, and no attempt at the engine. A query now waits
-/// for its record until its deadline.
+/// Guards against a bound on the journal write that is shorter than the query's deadline. When each sync took 0.8 s,
+/// every non-idempotent query was answered as failed after 0.5 s and none was sent, although all had seven seconds
+/// left. A query now waits for its record until its deadline.
 #[test]
-fn disk_with_slow_syncs_is_used() {
+fn non_idempotent_queries_are_sent_although_syncs_are_slow() {
     let gateway = RestartableGateway::start();
     assert!(load(&gateway).succeeded());
     gateway.faults.enable("disk-slow", "800");
     for _ in 0..3 {
         let began = Instant::now();
-        assert!(load(&gateway).succeeded(), "after {:?}", began.elapsed());
+        assert!(
+            load(&gateway).succeeded(),
+            "failed after {:?}",
+            began.elapsed()
+        );
         assert!(
             began.elapsed() >= ms(800),
-            "nothing leaves before its record is on the disk"
+            "the query should not be sent before its record is on the disk"
         );
     }
 }
 
-/// A gateway started while the disk fails serves what needs no journal and forgets no attempt that was sent.
+/// A gateway that starts while the disk fails forgets no attempt that was sent before.
 #[test]
 fn gateway_started_while_the_disk_fails_serves_queries_that_need_no_journal() {
     let mut gateway = RestartableGateway::start();
@@ -374,14 +396,14 @@
     assert_eq!(
         (again.status, &again.json),
         (500, &json!({"error": "Failed"})),
-        "it may have run"
+        "a query that may have run should be answered as failed"
     );
     assert_recovers_from_disk_fault(&gateway, &calls);
 }
 
 #[test]
 fn journal_that_cannot_be_opened_is_reported_with_its_path() {
-    let (engine, log) = (Engine::start(), ChangeLog::start());
+    let (engine, log) = (FakeEngine::start(), FakeChangeLog::start());
     let plan = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("no-journal-{}.plan", std::process::id()));
     std::fs::write(&plan, "journal j {\n  directory \"/no/such/folder\"\n}\n").unwrap();
@@ -391,6 +413,9 @@
         .output()
         .unwrap();
     assert_eq!(out.status.code(), Some(1));
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(said.contains("/no/such/folder/n0.once-only"), "{said}");
+    let error_text = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert!(
+        error_text.contains("/no/such/folder/n0.once-only"),
+        "the error lacks the path of the journal: {error_text}"
+    );
 }
--- a/crates/gateway/tests/subsets.rs
+++ b/crates/gateway/tests/subsets.rs
@@ -1,9 +1,9 @@
-//! A gateway that uses a subset of its engines, over sockets: engines are killed, drained and replaced, a zone is lost, lists
-//! are late, partial and repeated. The stand-in engines record what the gateway did.
+//! A gateway that uses a subset of its engines, over sockets. Engines are killed, drained and replaced, a zone is lost,
+//! and endpoint lists are late, partial and repeated. Fake engine processes record what the gateway does.
 
 mod helper;
 
-use helper::process::{ms, EngineProcess, ReceivedAttempt};
+use helper::process::{ms, FakeEngineProcess, ReceivedAttempt};
 use helper::*;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -19,30 +19,34 @@
 const ENGINES: usize = 40;
 const ZONES: usize = 4;
 const SUBSET_SIZE: usize = 8;
-/// Least number of members while that many engines are ready.
+/// Least number of members of the subset while that many engines are ready.
 const MIN_MEMBERS: usize = 4;
+/// Number of engines by which failed attempts may extend the subset.
 const RESERVE_SIZE: usize = 4;
-/// Number of killed members; a query may meet one after another.
+/// Number of members that are killed; a query may try them one after another.
 const KILLED_MEMBERS: usize = 2;
-/// Gateways that share the engines: so many that the subset size leaves no engine without gateways.
+/// Number of gateways that share the engines. With so many, each engine is used by some gateway at this subset size.
 const GATEWAYS: usize = 240;
-/// So many that a gateway's share of an engine is no limit here.
+/// Cores of each engine, so many that a gateway's share of an engine does not limit these tests.
 const CORES_PER_ENGINE: usize = 16_384;
 
-/// A gateway with many engines of which it uses a subset.
+/// A gateway with many engines, of which it uses a subset.
 struct SubsetGateway {
-    engines: Vec<EngineProcess>,
-    service: Service,
-    log_text: PathBuf,
-    /// The number of the last published event.
+    engines: Vec<FakeEngineProcess>,
+    test_bed: TestBed,
+    /// The file with the gateway's log.
+    log_path: PathBuf,
+    /// Number of the event published last.
     number: AtomicU64,
 }
 
+/// Returns the zone of an engine.
 fn zone(engine: usize) -> String {
     format!("z{}", engine % ZONES)
 }
 
-fn endpoint_in_zone(id: &str, engine: usize, process: &EngineProcess, state: &str) -> Value {
+/// Returns the endpoint list entry of an engine in its zone.
+fn endpoint_in_zone(id: &str, engine: usize, process: &FakeEngineProcess, state: &str) -> Value {
     let mut entry = endpoint(id, process.address, state);
     entry["zone"] = json!(zone(engine));
     entry
@@ -50,20 +54,21 @@
 
 impl SubsetGateway {
     fn start() -> SubsetGateway {
-        let engines: Vec<EngineProcess> = (0..ENGINES).map(|_| EngineProcess::start()).collect();
+        let engines: Vec<FakeEngineProcess> =
+            (0..ENGINES).map(|_| FakeEngineProcess::start()).collect();
         let lines: Vec<Value> = engines
             .iter()
             .enumerate()
             .map(|(n, e)| endpoint_in_zone(&format!("s-{n}"), n, e, "SERVING"))
             .collect();
-        let log_text = Mutex::new(PathBuf::new());
-        let service = Service::start_with_launcher(
+        let log_path = Mutex::new(PathBuf::new());
+        let test_bed = TestBed::start_with_launcher(
             |config| {
                 config["known"]["results"][0] = full_list_event(0, &lines);
                 config["settings"]["zones"] = (0..ZONES).map(zone).collect();
                 config["settings"]["balancers"] = json!(GATEWAYS);
                 config["settings"]["domain"]["kind-cores"] = json!([CORES_PER_ENGINE]);
-                // One more than the engines that are killed before the list says so.
+                // One more than the number of engines that are killed before the list says so.
                 config["settings"]["allowed"]["max-attempts"] = json!(KILLED_MEMBERS + 1);
                 config["limits"]["sockets"] = json!(1024);
                 config["subset"] = json!({"size": SUBSET_SIZE, "class_floor": MIN_MEMBERS, "reserve": RESERVE_SIZE,
@@ -71,25 +76,26 @@
             },
             |config| {
                 let file = write_config(config);
-                let path = file.with_extension("said");
+                let path = file.with_extension("stderr");
                 let child = serve_from(&file, File::create(&path).unwrap().into());
-                *log_text.lock().unwrap() = path;
+                *log_path.lock().unwrap() = path;
                 child
             },
         );
-        let log_text = log_text.into_inner().unwrap();
+        let log_path = log_path.into_inner().unwrap();
         SubsetGateway {
             engines,
-            service,
-            log_text,
+            test_bed,
+            log_path,
             number: AtomicU64::new(0),
         }
     }
 
     fn log_text(&self) -> String {
-        std::fs::read_to_string(&self.log_text).unwrap()
+        std::fs::read_to_string(&self.log_path).unwrap()
     }
 
+    /// Returns the list entry of an engine of the test bed.
     fn endpoint_of(&self, engine: usize, state: &str) -> Value {
         endpoint_in_zone(&format!("s-{engine}"), engine, &self.engines[engine], state)
     }
@@ -101,14 +107,14 @@
             true => full_list_event(number, lines),
             false => list_change_event(number, lines),
         };
-        self.service.log.publish(event);
+        self.test_bed.log.publish(event);
         wait_until("the change is applied", || {
             self.log_text()
                 .contains(&format!("engine list updated event={number} "))
         });
     }
 
-    /// Runs enough concurrent queries for every member to get some; returns how many succeeded.
+    /// Runs so many queries at once that every member gets some. Returns the number that succeeded.
     fn run_queries(&self) -> usize {
         let succeeded = AtomicU64::new(0);
         scope(|scope| {
@@ -116,7 +122,7 @@
                 let succeeded = &succeeded;
                 scope.spawn(move || {
                     let answer = self
-                        .service
+                        .test_bed
                         .query("report", &format!("SELECT {n} /* runs 250 */"));
                     succeeded.fetch_add(u64::from(answer.succeeded()), Ordering::Relaxed);
                 });
@@ -125,7 +131,7 @@
         succeeded.into_inner() as usize
     }
 
-    /// Engines that received an attempt since then.
+    /// Returns the engines that have received an attempt since a time.
     fn engines_used_since(&self, since: Instant) -> BTreeSet<usize> {
         let used = |n: &usize| {
             self.engines[*n]
@@ -136,7 +142,8 @@
         (0..self.engines.len()).filter(used).collect()
     }
 
-    /// Runs rounds of queries until one uses as many engines as the subset has; returns those engines.
+    /// Runs rounds of queries until one of them uses as many engines as the subset has, and returns these engines.
+    /// Panics after 8 s.
     fn members(&self) -> BTreeSet<usize> {
         let started_at = Instant::now();
         loop {
@@ -146,24 +153,27 @@
             assert_eq!(
                 succeeded,
                 4 * SUBSET_SIZE,
-                "queries that succeeded: {}",
+                "number of queries that succeeded: {}",
                 self.log_text()
             );
-            assert!(used.len() <= SUBSET_SIZE + RESERVE_SIZE, "{used:?}");
+            assert!(
+                used.len() <= SUBSET_SIZE + RESERVE_SIZE,
+                "too many engines used: {used:?}"
+            );
             if used.len() >= SUBSET_SIZE {
                 return used;
             }
             assert!(
                 started_at.elapsed() < ms(8000),
-                "only {used:?} are used: {}",
+                "only the engines {used:?} are used after 8 s: {}",
                 self.log_text()
             );
         }
     }
 
-    /// The attempts whose statement contains a text, in the order received.
+    /// Returns the attempts whose statement contains a text, in the order received.
     fn attempts_with(&self, text: &str) -> Vec<ReceivedAttempt> {
-        let of = |e: &EngineProcess| {
+        let of = |e: &FakeEngineProcess| {
             e.attempts()
                 .into_iter()
                 .filter(|attempt| attempt.statement.contains(text))
@@ -181,7 +191,7 @@
     more_fields: &str,
     statement: &str,
 ) -> TcpStream {
-    let stream = gateway.service.open();
+    let stream = gateway.test_bed.open();
     send_request(
         &stream,
         &format!("POST /v1/{class}"),
@@ -191,8 +201,9 @@
     stream
 }
 
+/// Reads the answer on a connection.
 fn answer(stream: TcpStream) -> Answer {
-    Answer::of(read_message(&mut BufReader::new(stream)).expect("an answer"))
+    Answer::of(read_message(&mut BufReader::new(stream)).expect("an answer should arrive"))
 }
 
 #[test]
@@ -203,20 +214,23 @@
     assert_eq!(
         gateway.members(),
         first,
-        "the subset is stable while nothing changes"
+        "the subset should not change while the list stays the same"
     );
     assert_eq!(
         gateway.engines_used_since(Instant::now() - ms(60_000)),
         first
     );
-    // Other engines get no health check either.
-    let probed = gateway
+    // Other engines get no health checks either.
+    let connected = gateway
         .engines
         .iter()
         .enumerate()
         .filter(|(_, e)| !e.state().connections.is_empty());
-    let probed: BTreeSet<usize> = probed.map(|(n, _)| n).collect();
-    assert!(probed.len() <= SUBSET_SIZE + RESERVE_SIZE, "{probed:?}");
+    let connected: BTreeSet<usize> = connected.map(|(n, _)| n).collect();
+    assert!(
+        connected.len() <= SUBSET_SIZE + RESERVE_SIZE,
+        "too many engines with connections: {connected:?}"
+    );
 }
 
 #[test]
@@ -247,7 +261,7 @@
     };
     assert!(
         gateway.attempts_with("/* out */").iter().any(out),
-        "an attempt runs on a draining engine"
+        "no attempt runs on an engine that is to drain"
     );
     gateway.publish(
         false,
@@ -258,7 +272,10 @@
     );
     let published_at = Instant::now();
     let after = gateway.members();
-    assert!(after.is_disjoint(&drained), "{after:?} after {drained:?}");
+    assert!(
+        after.is_disjoint(&drained),
+        "{after:?} are used although {drained:?} drain"
+    );
     assert!(gateway
         .engines_used_since(published_at)
         .is_disjoint(&drained));
@@ -268,13 +285,13 @@
     for attempt in gateway.attempts_with("/* out */") {
         assert_eq!(
             attempt.stopped_at, None,
-            "no attempt was cancelled: {attempt:?}"
+            "an attempt at a draining engine was ended: {attempt:?}"
         );
     }
     assert_eq!(
         gateway.attempts_with("/* out */").len(),
         SUBSET_SIZE,
-        "nothing was started twice"
+        "number of attempts, one for each query"
     );
     // An engine that serves again may rejoin the subset.
     gateway.publish(
@@ -299,15 +316,16 @@
     assert_eq!(
         gateway.run_queries(),
         4 * SUBSET_SIZE,
-        "before the list is updated"
+        "number of queries that succeeded before the list names the killed engines"
     );
     assert!(gateway.engines_used_since(since).len() >= SUBSET_SIZE - killed.len());
-    // The list replaces them.
+    // The list replaces the killed engines by new ones.
     let mut lines: Vec<Value> = killed
         .iter()
         .map(|n| gateway.endpoint_of(*n, "DELETED"))
         .collect();
-    let newcomers: Vec<EngineProcess> = killed.iter().map(|_| EngineProcess::start()).collect();
+    let newcomers: Vec<FakeEngineProcess> =
+        killed.iter().map(|_| FakeEngineProcess::start()).collect();
     for (n, process) in killed.iter().zip(&newcomers) {
         lines.push(endpoint_in_zone(
             &format!("s-new-{n}"),
@@ -332,12 +350,16 @@
         if gateway.engines_used_since(since).len() + new >= SUBSET_SIZE {
             break;
         }
-        assert!(started_at.elapsed() < ms(8000), "{}", gateway.log_text());
+        assert!(
+            started_at.elapsed() < ms(8000),
+            "the subset is not refilled within 8 s: {}",
+            gateway.log_text()
+        );
     }
     assert!(gateway.engines_used_since(since).is_disjoint(&killed));
 }
 
-/// A zone is lost and the list does not say so: failed attempts extend the subset by reachable engines.
+/// A zone is lost and the list does not say so. Failed attempts extend the subset by engines that can be reached.
 #[test]
 fn members_that_fail_unlisted_are_covered_by_the_reserve() {
     let gateway = SubsetGateway::start();
@@ -349,7 +371,7 @@
     gateway.run_queries();
     assert!(
         gateway.engines_used_since(started_at).len() < SUBSET_SIZE,
-        "some members are dead"
+        "some members of the subset should have been killed"
     );
     loop {
         let since = Instant::now();
@@ -357,7 +379,7 @@
         let used = gateway.engines_used_since(since);
         assert!(
             used.is_disjoint(&dead) && used.len() <= SUBSET_SIZE + RESERVE_SIZE,
-            "{used:?}"
+            "killed or too many engines are used: {used:?}"
         );
         if used.len() >= SUBSET_SIZE {
             break;
@@ -372,7 +394,7 @@
 }
 
 #[test]
-fn a_lost_zone_is_refilled_from_the_others() {
+fn lost_zone_is_replaced_by_engines_of_other_zones() {
     let gateway = SubsetGateway::start();
     gateway.members();
     let lost: BTreeSet<usize> = (0..ENGINES).filter(|n| n % ZONES == 1).collect();
@@ -387,11 +409,14 @@
             .collect::<Vec<_>>(),
     );
     let published_at = Instant::now();
-    // The remaining members serve all queries at once.
+    // The remaining members serve all queries while the subset is refilled.
     assert_eq!(gateway.run_queries(), 4 * SUBSET_SIZE);
     assert!(gateway.engines_used_since(published_at).len() >= MIN_MEMBERS);
     let members = gateway.members();
-    assert!(members.is_disjoint(&lost), "{members:?}");
+    assert!(
+        members.is_disjoint(&lost),
+        "engines of the lost zone are used: {members:?}"
+    );
 }
 
 #[test]
@@ -416,13 +441,16 @@
         let published_at = Instant::now();
         assert_eq!(gateway.run_queries(), 4 * SUBSET_SIZE);
         let used = gateway.engines_used_since(published_at);
-        assert!(used.len() >= MIN_MEMBERS, "{used:?}");
+        assert!(
+            used.len() >= MIN_MEMBERS,
+            "too few engines are used: {used:?}"
+        );
         assert!(
             !full || used.iter().all(|n| part.contains(n)),
             "{used:?} of {part:?}"
         );
     }
-    // A list without engines, and one with fewer than the subset.
+    // A list without engines is followed by one with fewer engines than the subset has.
     gateway.publish(true, &[]);
     gateway.publish(true, &lines(&all[..3]));
     let published_at = Instant::now();
@@ -431,14 +459,14 @@
         gateway.engines_used_since(published_at),
         all[..3].iter().copied().collect()
     );
-    // The log is unavailable for a while, then sends all missed events at once.
-    gateway.service.log.close_streams();
+    // The log is unavailable for a while, then sends all missed events together.
+    gateway.test_bed.log.close_streams();
     gateway.publish(false, &lines(half));
     gateway.publish(true, &lines(&all));
     assert!(gateway.members().len() >= SUBSET_SIZE);
 }
 
-/// Queries of a key are started one at a time, in the order of admission, while members change.
+/// The queries of a key are started one at a time, in the order of admission, while the members of the subset change.
 #[test]
 fn order_per_key_is_kept_while_members_change() {
     const KEYS: usize = 4;
@@ -455,7 +483,7 @@
                 &format!("INSERT key-{key} {n} /* runs 40 */"),
             ));
         }
-        // Admitted in this order.
+        // Time for the gateway to admit the queries in this order.
         sleep(ms(60));
         let at = |n: usize| n * 7 % ENGINES;
         let changed = [
@@ -468,7 +496,7 @@
             &changed.map(|(n, state)| gateway.endpoint_of(n, state)),
         );
         if n == QUERIES_PER_KEY / 2 {
-            gateway.service.signal("HUP");
+            gateway.test_bed.signal("HUP");
         }
     }
     let succeeded = streams
@@ -494,24 +522,25 @@
         assert_eq!(
             ids.len(),
             started.len(),
-            "key {key}: no non-idempotent query is started twice"
+            "key {key}: number of attempts, one for each non-idempotent query"
         );
     }
     assert!(
         succeeded >= KEYS * QUERIES_PER_KEY / 2,
-        "{succeeded} succeeded"
+        "only {succeeded} queries succeeded"
     );
 }
 
-/// Engines named by id may be in no subset; zones, kinds and unions of them have a minimum number of members.
+/// A pool of engines named by id may have no member in the subset, so such a plan is refused. Zones, kinds and unions
+/// of them have a minimum number of members.
 #[test]
-fn plan_with_a_subset_has_pools_of_zones_and_kinds() {
-    let service = Service::start_with(|config| {
+fn plan_with_a_subset_may_name_only_pools_of_zones_and_kinds() {
+    let test_bed = TestBed::start_with(|config| {
         config["subset"] = json!({"size": SUBSET_SIZE});
         config["settings"]["kinds"] = json!(["std", "large"]);
     });
     let (config, plan) = (
-        write_config(&service.config),
+        write_config(&test_bed.config),
         write_config(&json!({})).with_extension("plan"),
     );
     let check = |text: &str| {
@@ -542,40 +571,40 @@
             !good
                 && log_text.contains(": pool few: ")
                 && log_text.contains("; name zones and kinds"),
-            "{log_text}"
+            "the plan was not refused with the pool and a remedy: {log_text}"
         );
     }
 }
 
 #[test]
-fn sighup_keeps_the_subset_and_sigterm_ends_well() {
+fn sighup_keeps_the_subset_and_sigterm_exits_successfully() {
     let mut gateway = SubsetGateway::start();
     let members = gateway.members();
-    let file = gateway.log_text.with_extension("json");
-    let mut config = gateway.service.config.clone();
+    let file = gateway.log_path.with_extension("json");
+    let mut config = gateway.test_bed.config.clone();
     config["subset"]["size"] = json!(2 * SUBSET_SIZE);
     std::fs::write(&file, config.to_string()).unwrap();
-    gateway.service.signal("HUP");
-    wait_until("it is read again", || {
+    gateway.test_bed.signal("HUP");
+    wait_until("the configuration is reloaded", || {
         gateway.log_text().contains("configuration reloaded")
     });
     assert!(
         gateway
             .log_text()
             .contains("configuration change needs a restart key=\"subset\""),
-        "{}",
+        "the log lacks the key that needs a restart: {}",
         gateway.log_text()
     );
     assert_eq!(gateway.members(), members);
     config["subset"]["size"] = json!(0);
     std::fs::write(&file, config.to_string()).unwrap();
-    gateway.service.signal("HUP");
-    wait_until("it is refused", || {
+    gateway.test_bed.signal("HUP");
+    wait_until("the configuration is refused", || {
         gateway.log_text().contains("configuration not reloaded")
     });
     assert!(
         gateway.log_text().contains("subset.size: 0 "),
-        "{}",
+        "the log lacks the error of the configuration: {}",
         gateway.log_text()
     );
     let out: Vec<TcpStream> = (0..SUBSET_SIZE)
@@ -589,15 +618,15 @@
         })
         .collect();
     sleep(ms(100));
-    gateway.service.signal("TERM");
+    gateway.test_bed.signal("TERM");
     for stream in out {
         assert!(answer(stream).succeeded());
     }
-    let status = gateway.service.child.wait().unwrap();
+    let status = gateway.test_bed.child.wait().unwrap();
     assert!(status.success(), "{status}: {}", gateway.log_text());
     assert!(
         !gateway.log_text().contains("panicked"),
-        "{}",
+        "the gateway panicked: {}",
         gateway.log_text()
     );
 }
--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -1,11 +1,12 @@
-//! The gateway's external interface, written out literally: an accidental change of a name or format fails here.
+//! The gateway's external interface, written out literally, so that an accidental change of a name or a format fails
+//! here.
 //!
-//! Pinned elsewhere, and not again: every key of the configuration file with its refusal (bad_input.rs), of the
-//! settings (crates/settings/tests/keys.rs), of an event of the change log (src/discovery/event/tests.rs and
-//! bad_input.rs); how plans are refused and what they refuse (plan.rs); exit codes of the commands on plans
-//! (plan.rs); statuses of a query's failures and of invalid requests (sockets.rs), of long bodies (bodies.rs) and of repeated
-//! requests (repeated_calls.rs); records of the journal and pieces of the spool (crates/ledger/tests/stored_records.rs,
-//! crates/bodies/tests/stored_spool.rs); frames of the bench (crates/bench-adapter).
+//! Other tests cover the rest: every key of the configuration file with its refusal (bad_input.rs), of the settings
+//! (crates/settings/tests/keys.rs), and of an event of the change log (src/discovery/event/tests.rs and bad_input.rs);
+//! the refusal of plans, the rejections by plans, and the exit codes of the plan commands (plan.rs); the statuses of
+//! failed queries and invalid requests (sockets.rs), of long bodies (bodies.rs) and of repeated requests
+//! (repeated_calls.rs); the records of the journal and the slots of the spool (crates/ledger/tests/stored_records.rs,
+//! crates/bodies/tests/stored_spool.rs); the frames of the benchmark (crates/bench-adapter).
 
 mod helper;
 
@@ -19,7 +20,7 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// Reads one message byte for byte, with a body of its `Content-Length`.
+/// Reads one message byte for byte, with the body that its `Content-Length` announces.
 fn raw_message(reader: &mut impl BufRead) -> Option<String> {
     let (mut text, mut length) = (String::new(), 0);
     loop {
@@ -41,22 +42,24 @@
     Some(text + &String::from_utf8(body).ok()?)
 }
 
-/// The gateway's response to these bytes, without the field `date`.
+/// Sends these bytes on a new connection and returns the response without the field `date`.
 fn answer_to(address: SocketAddr, text: &str) -> String {
     let stream = TcpStream::connect(address).unwrap();
     (&stream).write_all(text.as_bytes()).unwrap();
     answer_on(&stream)
 }
 
+/// Reads a response and returns it without the field `date`.
 fn answer_on(stream: &TcpStream) -> String {
     stream
         .set_read_timeout(Some(Duration::from_secs(8)))
         .unwrap();
-    let answer = raw_message(&mut BufReader::new(stream)).expect("an answer");
+    let answer = raw_message(&mut BufReader::new(stream)).expect("an answer should arrive");
     let lines = answer.split_inclusive('\n');
     lines.filter(|line| !line.starts_with("date: ")).collect()
 }
 
+/// Formats a request for a query, with more header lines.
 fn post(id: &str, class: &str, more: &str, statement: &str) -> String {
     format!(
         "POST /v1/{class} HTTP/1.1\r\nHost: x\r\nX-Job-Id: {id}\r\nX-Allow-Ms: 2500\r\nX-Team: acme\r\n{more}\
@@ -65,7 +68,7 @@
     )
 }
 
-/// A short answer of a gateway.
+/// Formats the expected answer with a JSON body.
 fn short_answer(status: &str, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\ncontent-type: application/json\r\n{headers}content-length: {}\r\n\r\n{body}",
@@ -74,8 +77,8 @@
 }
 
 #[test]
-fn responses_to_requests_without_a_query() {
-    let s = Service::start();
+fn responses_to_requests_without_a_query_match_byte_for_byte() {
+    let test_bed = TestBed::start();
     let good = || post(&new_id(), "report", "", "SELECT 1");
     let with = |more: &str| post(&new_id(), "report", more, "SELECT 1");
     let without = |line: &str| good().replace(line, "");
@@ -136,14 +139,14 @@
         ),
     ];
     for (call, expected) in cases {
-        assert_eq!(answer_to(s.address, &call), expected, "{call:.300}");
+        assert_eq!(answer_to(test_bed.address, &call), expected, "{call:.300}");
     }
-    assert_eq!(s.engine.requests("POST"), 0);
+    assert_eq!(test_bed.engine.requests("POST"), 0);
 }
 
 #[test]
-fn responses_to_queries() {
-    let s = Service::start();
+fn responses_to_queries_match_byte_for_byte() {
+    let test_bed = TestBed::start();
     let id = new_id();
     let rows = r#"{"data":[["a","b\"\\","\u0001 é"],["c","","漢"]]}"#;
     let cases = [
@@ -181,32 +184,32 @@
         ),
     ];
     for (call, expected) in cases {
-        assert_eq!(answer_to(s.address, &call), expected, "{call}");
+        assert_eq!(answer_to(test_bed.address, &call), expected, "{call}");
     }
     let late = post(&new_id(), "report", "", "SELECT 1").replace("2500", "900");
     assert_eq!(
-        answer_to(s.address, &late),
+        answer_to(test_bed.address, &late),
         short_answer("200 OK", "", rows)
     );
     sleep(Duration::from_millis(1000));
     assert_eq!(
-        answer_to(s.address, &late),
+        answer_to(test_bed.address, &late),
         short_answer(
             "409 Conflict",
             "",
             r#"{"error":"this id has had its answer"}"#
         )
     );
-    let (id, stream) = (new_id(), s.open());
+    let (id, stream) = (new_id(), test_bed.open());
     (&stream)
         .write_all(post(&id, "report", "", "SELECT 1 /* slow */").as_bytes())
         .unwrap();
-    wait_until("the start", || {
-        s.engine.started.lock().unwrap().contains_key(&id)
+    wait_until("the engine receives the start", || {
+        test_bed.engine.started.lock().unwrap().contains_key(&id)
     });
-    let withdrawn = post(&id, "report", "", "").replace("POST", "DELETE");
+    let cancel_request = post(&id, "report", "", "").replace("POST", "DELETE");
     assert_eq!(
-        answer_to(s.address, &withdrawn),
+        answer_to(test_bed.address, &cancel_request),
         "HTTP/1.1 204 No Content\r\n\r\n"
     );
 }
@@ -234,14 +237,14 @@
 }
 ";
 
-/// A gateway with a plan and a configuration.
-fn gateway_with_plan(folder: &str, text: &str) -> (Service, PathBuf) {
+/// Starts a test bed with a plan. Returns it with the directory of the plan, which the caller removes.
+fn gateway_with_plan(folder: &str, text: &str) -> (TestBed, PathBuf) {
     let name = format!("{folder}-{}", std::process::id());
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).unwrap();
     let plan = folder.join("a.plan");
     std::fs::write(&plan, text).unwrap();
-    let service = Service::start_with_launcher(
+    let test_bed = TestBed::start_with_launcher(
         |_| {},
         |config| {
             let mut command = gateway_command(&["serve", "--plan", plan.to_str().unwrap()]);
@@ -249,15 +252,15 @@
             command.stderr(Stdio::null()).spawn().unwrap()
         },
     );
-    (service, folder)
+    (test_bed, folder)
 }
 
 #[test]
-fn responses_under_a_plan() {
-    let (s, folder) = gateway_with_plan("answers-plan", PLAN);
+fn responses_under_a_plan_match_byte_for_byte() {
+    let (test_bed, folder) = gateway_with_plan("answers-plan", PLAN);
     let too_long = "x".repeat(101);
     assert_eq!(
-        answer_to(s.address, &post(&new_id(), "load", "", &too_long)),
+        answer_to(test_bed.address, &post(&new_id(), "load", "", &too_long)),
         short_answer(
             "413 Payload Too Large",
             "connection: close\r\n",
@@ -266,7 +269,7 @@
     );
     let huge =
         post(&new_id(), "report", "", "").replace("Content-Length: 0", "Content-Length: 1048577");
-    let answer = answer_to(s.address, &huge);
+    let answer = answer_to(test_bed.address, &huge);
     assert_eq!(
         answer,
         short_answer(
@@ -276,14 +279,14 @@
         )
     );
     for _ in 0..2 {
-        s.query("report", "SELECT 1");
+        test_bed.query("report", "SELECT 1");
     }
-    let limited = answer_to(s.address, &post(&new_id(), "report", "", "SELECT 1"));
+    let limited = answer_to(test_bed.address, &post(&new_id(), "report", "", "SELECT 1"));
     let (before, rest) = limited.split_once("x-wait-ms: ").expect("x-wait-ms");
     let (wait, after) = rest.split_once("\r\n").unwrap();
     assert!(
         (1..=250).contains(&wait.parse::<u64>().unwrap()),
-        "{limited}"
+        "x-wait-ms is not from 1 to 250: {limited}"
     );
     assert_eq!(
         format!("{before}{after}"),
@@ -293,13 +296,13 @@
             r#"{"error":"Busy","reason":"over the limit each (Rate)"}"#,
         )
     );
-    let (slow, id) = (s.open(), new_id());
+    let (slow, id) = (test_bed.open(), new_id());
     (&slow)
         .write_all(post(&id, "load", "", "INSERT /* slow */").as_bytes())
         .unwrap();
-    wait_until("the start", || s.engine.requests("POST") == 3);
+    wait_until("the start", || test_bed.engine.requests("POST") == 3);
     assert_eq!(
-        answer_to(s.address, &post(&new_id(), "load", "", "INSERT")),
+        answer_to(test_bed.address, &post(&new_id(), "load", "", "INSERT")),
         short_answer(
             "503 Service Unavailable",
             "x-wait-ms: 10\r\n",
@@ -307,13 +310,13 @@
         )
     );
     assert!(answer_on(&slow).starts_with("HTTP/1.1 200 OK"));
-    drop(s);
+    drop(test_bed);
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
 fn gateway_without_engines_reports_that_it_does_not_serve() {
-    let (engine, log) = (Engine::start(), ChangeLog::start());
+    let (engine, log) = (FakeEngine::start(), FakeChangeLog::start());
     let mut config = config(engine.address, log.address);
     config["known"] = json!(null);
     let address = config["listen"].as_str().unwrap().parse().unwrap();
@@ -336,7 +339,7 @@
     }
 }
 
-/// A server that records every request and answers by a function; `None` closes the connection.
+/// A server that records every request and answers it by a function; `None` closes the connection.
 #[derive(Clone)]
 struct Recorder {
     address: SocketAddr,
@@ -367,7 +370,7 @@
         recorder
     }
 
-    /// Waits for the first request with this prefix.
+    /// Waits for a request with this prefix and returns the first one.
     fn wait_for_first(&self, start: &str) -> String {
         let found = || {
             let calls = self.requests.lock().unwrap();
@@ -377,13 +380,14 @@
         found().unwrap()
     }
 
+    /// Returns the number of requests with this prefix.
     fn count(&self, start: &str) -> usize {
         let calls = self.requests.lock().unwrap();
         calls.iter().filter(|call| call.starts_with(start)).count()
     }
 }
 
-/// An engine that answers requests by a script, and health checks with a load report.
+/// Starts an engine that answers health checks with a load report and other requests by a script.
 fn scripted_engine(
     stats: &'static str,
     script: impl Fn(&str) -> String + Send + Sync + 'static,
@@ -398,10 +402,10 @@
     })
 }
 
-/// A gateway with these engines and a query class of each idempotency.
-fn gateway_with_engines(engines: &[&Recorder]) -> Service {
+/// Starts a test bed with these engines and a query class of each idempotency.
+fn gateway_with_engines(engines: &[&Recorder]) -> TestBed {
     let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
-    Service::start_with(|config| {
+    TestBed::start_with(|config| {
         let lines: Vec<_> = addresses
             .iter()
             .enumerate()
@@ -416,17 +420,20 @@
     })
 }
 
-/// Replaces the response timeout of a start, which varies.
+/// Replaces the response timeout that a start forwards, which varies, by N.
 fn mask_response_timeout(call: &str) -> String {
     let (before, rest) = call.split_once("x-patience: ").expect("x-patience");
     let (value, after) = rest.split_once("\r\n").unwrap();
     let value: u64 = value.parse().unwrap();
-    assert!((1..=2500).contains(&value), "{call}");
+    assert!(
+        (1..=2500).contains(&value),
+        "x-patience is not from 1 to 2500: {call}"
+    );
     format!("{before}x-patience: N\r\n{after}")
 }
 
 #[test]
-fn requests_to_engines() {
+fn requests_to_engines_match_byte_for_byte() {
     let engine = scripted_engine("queue:0;util:0.1", |call| {
         let method = call.split(' ').next().unwrap();
         let first_poll = call.starts_with("GET /c/") && call.contains("/0 HTTP");
@@ -444,12 +451,12 @@
             _ => http_response("200 OK", "Result-Page: 1\r\n", "d\te\tf\n"),
         }
     });
-    let s = gateway_with_engines(&[&engine]);
+    let test_bed = gateway_with_engines(&[&engine]);
     let host = format!("host: {}\r\n", engine.address);
     let more = "X-Item: 7f3a9c21e0b4d655\r\nX-Unique: 00ab12ffee34cd56\r\nX-Size-Ms: 120\r\nX-Memory: 64\r\n";
     assert_eq!(
         answer_to(
-            s.address,
+            test_bed.address,
             &post("9b1f03aa5c7e2d01", "keyed", more, "INSERT 1")
         ),
         short_answer("200 OK", "", r#"{"data":[["a","b","c"],["d","e","f"]]}"#)
@@ -468,7 +475,7 @@
             format!("GET {path} HTTP/1.1\r\n{host}\r\n")
         );
     }
-    let stream = s.open();
+    let stream = test_bed.open();
     let call = post("9b1f03aa5c7e2d02", "report", "", "SELECT 1");
     (&stream).write_all(call.as_bytes()).unwrap();
     engine.wait_for_first("GET /c/9b1f03aa5c7e2d02/0 HTTP");
@@ -495,14 +502,14 @@
 }
 
 #[test]
-fn health_check_of_an_engine() {
+fn health_check_request_matches_byte_for_byte() {
     let newcomer = scripted_engine("queue:0;util:0.1", |_| http_response("500 Oops", "", ""));
-    let s = Service::start_with(|config| {
+    let test_bed = TestBed::start_with(|config| {
         config["subset"] = json!({"size": 4, "class_floor": 0, "reserve": 0});
     });
-    // An engine is checked before it joins a subset.
+    // The gateway checks an engine before the engine joins the subset.
     let listed = endpoint("s-2", newcomer.address, "SERVING");
-    s.log.publish(list_change_event(1, &[listed]));
+    test_bed.log.publish(list_change_event(1, &[listed]));
     let host = format!("host: {}\r\n", newcomer.address);
     assert_eq!(
         newcomer.wait_for_first("GET"),
@@ -510,9 +517,9 @@
     );
 }
 
-/// Each response of an engine to a start, the number of starts, and the client's answer.
+/// For each response of an engine to a start: the number of starts and the client's answer.
 #[test]
-fn responses_of_engines() {
+fn engine_responses_lead_to_the_expected_starts_and_answers() {
     let engine = scripted_engine("queue:0;util:0.1", |call| {
         let (_, statement) = call.split_once("\r\n\r\n").unwrap();
         match (call.split(' ').next().unwrap(), statement) {
@@ -524,7 +531,7 @@
             _ => http_response("500 Oops", "", ""),
         }
     });
-    let s = gateway_with_engines(&[&engine]);
+    let test_bed = gateway_with_engines(&[&engine]);
     let failed = short_answer("500 Internal Server Error", "", r#"{"error":"Failed"}"#);
     let rows = short_answer("200 OK", "", r#"{"data":[["a","b","c"]]}"#);
     for (statement, starts, expected) in [
@@ -534,22 +541,26 @@
         ("full", 2, None),
     ] {
         let before = engine.count("POST");
-        let answer = answer_to(s.address, &post(&new_id(), "load", "", statement));
+        let answer = answer_to(test_bed.address, &post(&new_id(), "load", "", statement));
         match expected {
-            Some(expected) => assert_eq!(answer, expected, "{statement}"),
+            Some(expected) => assert_eq!(answer, expected, "answer to the statement {statement}"),
             None => assert!(
                 answer.starts_with("HTTP/1.1 503 Service Unavailable\r\n")
                     && answer.ends_with(r#"{"error":"Busy"}"#),
                 "{statement}: {answer}"
             ),
         }
-        assert_eq!(engine.count("POST") - before, starts, "{statement}");
+        assert_eq!(
+            engine.count("POST") - before,
+            starts,
+            "number of starts of the statement {statement}"
+        );
     }
 }
 
-/// The load report in an engine's responses: an engine that reports full load gets the smaller share.
+/// The load report is a header field of the engine's responses.
 #[test]
-fn load_reports_of_engines() {
+fn engine_that_reports_full_load_gets_the_smaller_share() {
     let with = |stats: &'static str| {
         Recorder::start(move |call| match call.starts_with("DELETE") {
             true => Some(http_response("204 No Content", "", "")),
@@ -564,35 +575,36 @@
         endpoint("s-1", full.address, "SERVING"),
         endpoint("s-2", idle.address, "SERVING"),
     ];
-    let s = Service::start_with(|config| {
+    let test_bed = TestBed::start_with(|config| {
         config["known"]["results"] = json!([full_list_event(0, &lines)]);
         config["settings"]["telemetry"]["how"] = json!("inline");
     });
     for _ in 0..40 {
-        answer_to(s.address, &post(&new_id(), "report", "", "SELECT 1"));
+        answer_to(test_bed.address, &post(&new_id(), "report", "", "SELECT 1"));
     }
     let (at_full, at_idle) = (full.count("POST"), idle.count("POST"));
     assert!(
         at_full + at_idle >= 40 && at_idle >= 3 * at_full,
-        "{at_full} and {at_idle}"
+        "{at_full} attempts at the engine with full load, {at_idle} at the idle one"
     );
 }
 
 #[test]
-fn request_to_the_change_log() {
+fn change_log_request_matches_byte_for_byte() {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
     let log = Recorder::start(move |_| Some(format!("{head}id: 8\ndata: {{\"seq\":8}}\n\n")));
-    let s = Service::start_with(|config| config["changelog"] = json!(log.address.to_string()));
+    let test_bed =
+        TestBed::start_with(|config| config["changelog"] = json!(log.address.to_string()));
     let host = format!("host: {}\r\n", log.address);
     assert_eq!(
         log.wait_for_first("GET"),
         format!("GET /changes HTTP/1.1\r\n{host}last-event-id: 0\r\n\r\n")
     );
-    drop(s);
+    drop(test_bed);
 }
 
 #[test]
-fn commands_and_their_exit_codes() {
+fn commands_print_their_output_and_exit_with_their_codes() {
     let address = free_address();
     let good = write_config(&config(address, address));
     let good = good.to_str().unwrap();
@@ -637,16 +649,21 @@
             .unwrap();
         let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).unwrap();
         let listen = config_address(good);
-        assert_eq!(ended.status.code(), Some(code), "{arguments:?}");
+        assert_eq!(
+            ended.status.code(),
+            Some(code),
+            "exit code of {arguments:?}"
+        );
         assert_eq!(
             text(&ended.stdout),
             out.replace("ADDR?", &listen),
-            "{arguments:?}"
+            "standard output of {arguments:?}"
         );
-        assert_eq!(text(&ended.stderr), err, "{arguments:?}");
+        assert_eq!(text(&ended.stderr), err, "standard error of {arguments:?}");
     }
 }
 
+/// Returns the address at which a configuration file makes the gateway listen.
 fn config_address(file: &str) -> String {
     let text = std::fs::read_to_string(file).unwrap();
     let json: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -681,13 +698,13 @@
 ";
 
 #[test]
-fn names_of_the_environment() {
+fn environment_variables_are_read_under_their_names() {
     let address = free_address();
     let good = write_config(&config(address, address));
     let ended = |command: &mut Command| {
         let ended = command.output().unwrap();
-        let said = [ended.stdout, ended.stderr].concat();
-        (ended.status.code(), String::from_utf8(said).unwrap())
+        let output = [ended.stdout, ended.stderr].concat();
+        (ended.status.code(), String::from_utf8(output).unwrap())
     };
     let check = || {
         let mut command = gateway_command(&["check-config"]);
@@ -701,13 +718,13 @@
             .env("PROXY_NAME", "n7")
             .env("PROXY_LISTEN", "127.0.0.1:4999"),
     );
-    let said = "configuration of n7 is valid: n7 listens on 127.0.0.1:4999\n";
-    assert_eq!(named, (Some(0), said.to_string()));
-    let (code, said) = ended(check().env("GARNETWALL_PLAN", "/nowhere/a.plan"));
+    let output = "configuration of n7 is valid: n7 listens on 127.0.0.1:4999\n";
+    assert_eq!(named, (Some(0), output.to_string()));
+    let (code, output) = ended(check().env("GARNETWALL_PLAN", "/nowhere/a.plan"));
     assert_eq!(code, Some(1));
     assert!(
-        said.starts_with("garnetwall: invalid plan /nowhere/a.plan\n"),
-        "{said}"
+        output.starts_with("garnetwall: invalid plan /nowhere/a.plan\n"),
+        "the error lacks the path of the plan: {output}"
     );
     let log = |level: &str| {
         let mut command = gateway_command(&["serve"]);
@@ -717,22 +734,22 @@
         let mut child = KillOnDrop(command.stderr(Stdio::piped()).spawn().unwrap());
         sleep(Duration::from_millis(400));
         child.0.kill().unwrap();
-        let mut said = String::new();
+        let mut output = String::new();
         child
             .0
             .stderr
             .take()
             .unwrap()
-            .read_to_string(&mut said)
+            .read_to_string(&mut output)
             .unwrap();
-        said
+        output
     };
     assert!(log("info").contains(" INFO "));
     assert!(!log("error").contains(" INFO "));
 }
 
-/// A journal written before the code was renamed (see crates/ledger/tests/stored_records.rs): queries recorded as finished or
-/// as sent are not sent again.
+/// The journal was written by an earlier version of the program (see crates/ledger/tests/stored_records.rs). Queries
+/// that it records as finished or as sent are not sent again.
 #[test]
 fn gateway_continues_with_a_stored_journal() {
     const STORED: &[u8] = include_bytes!("../../ledger/tests/fixtures/interrupted.once-only");
@@ -746,7 +763,7 @@
         folder.to_str().unwrap()
     );
     std::fs::write(&plan, text).unwrap();
-    let s = Service::start_with_launcher(
+    let test_bed = TestBed::start_with_launcher(
         |_| {},
         |config| {
             let mut command = gateway_command(&["serve", "--plan", plan.to_str().unwrap()]);
@@ -756,16 +773,16 @@
     );
     let failed = short_answer("500 Internal Server Error", "", r#"{"error":"Failed"}"#);
     for id in ["9b1f03aa5c7e2d01", "9b1f03aa5c7e2d02", "9b1f03aa5c7e2d03"] {
-        let answer = answer_to(s.address, &post(id, "load", "", "INSERT 1"));
-        assert_eq!(answer, failed, "{id}");
+        let answer = answer_to(test_bed.address, &post(id, "load", "", "INSERT 1"));
+        assert_eq!(answer, failed, "answer to the recorded query {id}");
     }
-    assert_eq!(s.engine.requests("POST"), 0);
-    // The interrupted record was never written completely: its query was not sent.
-    assert!(s
+    assert_eq!(test_bed.engine.requests("POST"), 0);
+    // The write of the last record was interrupted, so the query of that record was never sent.
+    assert!(test_bed
         .query_with_id("9b1f03aa5c7e2d04", "load", 2500, "INSERT 1")
         .succeeded());
     let stored = std::fs::read(folder.join("n0.once-only")).unwrap();
     assert_eq!((stored.len() % 32, stored[0], stored[1]), (0, b'G', 3));
-    drop(s);
+    drop(test_bed);
     std::fs::remove_dir_all(folder).unwrap();
 }
