--- a/src/api.rs
+++ b/src/api.rs
@@ -86,7 +86,8 @@
     pub initial_fraction: f64,
     /// Seconds from the engine's start until it can use all its cores.
     pub duration: f64,
-    /// The engine is overloaded by more than this multiple of the work that its effective cores do in `window`.
+    /// Work within `window` above which the engine is overloaded, as a multiple of the work that its effective cores
+    /// can do in that time.
     pub overload_multiple: f64,
     /// Length of the sliding window over which the engine's work is counted, in seconds.
     pub window: f64,
@@ -154,7 +155,7 @@
     pub id: QueryId,
     /// Query class, as an index into [`Settings::classes`].
     pub class: usize,
-    /// Tenant whose queue the query waits in; below [`Settings::tenants`].
+    /// Tenant in whose queue the query waits, from 0. Numbers from [`Settings::tenants`] on count as the last tenant.
     pub tenant: usize,
     /// Queries of ordered classes with the same ordering key run one at a time; `None` for no order.
     pub ordering_key: Option<u64>,
@@ -231,7 +232,7 @@
     pub waiting_for_memory: Option<f64>,
     /// Number of queries in flight on the engine, from all gateways.
     pub in_flight: Option<f64>,
-    /// Fraction of the engine's memory in use.
+    /// Fraction of the engine's memory in use. The controller does not use it.
     pub memory_utilisation: Option<f64>,
     /// Fraction of time for which the engine's disks are busy.
     pub disk_utilisation: Option<f64>,
@@ -303,7 +304,7 @@
     Attempt {
         /// Engine that receives the attempt.
         engine: EngineId,
-        /// Seconds after which no client waits for the attempt any more.
+        /// Seconds until the query's deadline; after that, no client waits for the answer.
         response_timeout: f64,
         /// Seconds within which the whole request must reach the engine; after that it must not be sent.
         send_timeout: f64,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -22,6 +22,7 @@
 //! | decision | module |
 //! |---|---|
 //! | which query is next | `fair_queue` |
+//! | which waiting queries are abandoned under load | `load_shedding` |
 //! | which engine | `engine_choice`, with `data_set_locks`, and `sampling` for long lists |
 //! | whether a query starts above the load limit | `start_probability` |
 //! | load of engines and kinds | `load` |
@@ -77,7 +78,8 @@
 
 /// Safety margin in seconds for deadlines, windows and pauses; covers network delay and the caller's timer resolution.
 const TIME_MARGIN_SECONDS: f64 = 0.02;
-/// Lower bound for divisors (seconds, cores or work), so that zero or tiny values in the settings do no harm.
+/// Lower bound for divisors (seconds, cores, megabytes or work), so that zero or tiny values in settings, estimates and
+/// measurements do not give infinite or extreme quotients.
 const MIN_DIVISOR: f64 = 1e-3;
 /// Decay time constant, in seconds, of the work sent to a kind and of the mean work of admitted queries.
 const WORK_DECAY_SECONDS: f64 = 20.0;
@@ -199,7 +201,7 @@
     last_admitted: Option<Query>,
     in_flight_time: InFlightTime,
     retry_window: RetryWindow,
-    /// Whether the latest load report of any engine included its CPU utilisation.
+    /// Whether the most recent load report, of whichever engine, included the CPU utilisation.
     cpu_reported: bool,
     /// Number of health checks that may be sent; grows with each admitted query.
     health_check_budget: f64,
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -49,8 +49,9 @@
     }
 
     /// Replaces the settings of the classes, in the order of [`crate::api::Settings::classes`]. `in_order` keeps its
-    /// old value. Threads and kinds must not change while attempts are in flight, because totals are updated with their
-    /// values at the start and at the end of each attempt.
+    /// old value. `threads` must not change while attempts are in flight, because totals are updated with its value at
+    /// the start and at the end of each attempt. `kinds` must not change while queries are open, because the expected
+    /// work of a query counts for its kinds at admission if `kinds` is set, otherwise at the start of each attempt.
     pub fn update_classes(&mut self, classes: &[QueryClass]) {
         for (old, new) in self.settings.classes.iter_mut().zip(classes) {
             *old = QueryClass {
--- a/src/controller/attempt.rs
+++ b/src/controller/attempt.rs
@@ -1,11 +1,13 @@
-//! Handles the start of an attempt, an unknown outcome, and the end of an attempt.
+//! Starts attempts, and processes unknown outcomes and the ends of attempts.
 //!
 //! | state | transition out of the state |
 //! |---|---|
 //! | in flight | [`AdmissionController::attempt_ended`], exactly once |
-//! | in flight, outcome unknown | the same; the client may have its answer earlier, but the ordering key stays held |
+//! | in flight, outcome unknown | the same; the client may be answered earlier, but the ordering key stays held |
 //!
-//! Rule: a query counts as one that may have run until each of its attempts is proved not to have run.
+//! Rule: a query counts as one that may have run as soon as the outcome of an attempt is reported as unknown, or an
+//! attempt ends without proof that it never ran. If an attempt with an unknown outcome is later proved not to have run,
+//! it no longer counts.
 
 use super::attempt_state::Attempt;
 use super::query_state::{QueryPhase, QueryState};
@@ -69,8 +71,8 @@
         kind.memory_in_flight -= attempt.memory;
     }
 
-    /// Reports that the outcome of an attempt is unknown and may not become known before the deadline. Returns the
-    /// final answer if no retry is possible. The attempt stays in flight, and its query keeps its ordering key, until
+    /// Reports that the outcome of an attempt is unknown and might still be unknown at the deadline. Returns the final
+    /// answer if no retry is possible. The attempt stays in flight, and its query keeps its ordering key, until
     /// [`Self::attempt_ended`] is called.
     pub fn outcome_unknown(&mut self, now: f64, id: QueryId, outcome: AttemptOutcome) -> FollowUp {
         self.observe_time(now);
@@ -98,8 +100,8 @@
         FollowUp::Answer(self.final_answer(now, id))
     }
 
-    /// Reports that an attempt has ended: it has run, or it never will. The caller must do this exactly once for each
-    /// attempt. Returns the consequence for its query.
+    /// Reports the end of an attempt, after which the caller learns nothing more about it. The caller must do this
+    /// exactly once for each attempt. Returns the consequence for its query.
     pub fn attempt_ended(&mut self, now: f64, id: QueryId, outcome: AttemptOutcome) -> FollowUp {
         self.observe_time(now);
         let Some(state) = self.queries.get_mut(&id) else {
--- a/src/controller/eligibility.rs
+++ b/src/controller/eligibility.rs
@@ -7,8 +7,8 @@
 //! - No attempt repeats an effect (idempotency, deduplication window and scope).
 //! - No attempt goes to a draining or removed engine.
 //! - The zone, the kind and the endpoint subset restrict the placement.
-//! - Retries stay within the retry budget.
-//! - Work for an engine in slow start stays within its work budget.
+//! - Retries need the query's body, and stay within the retry budget and the maximum number of attempts.
+//! - Work for an engine in slow start stays within this gateway's share of the engine's work budget.
 //!
 //! Each attempt is checked by [`AdmissionController::may_begin_attempt`] and [`AdmissionController::engine_eligible`].
 //! The modules `outlier_ejection`, `load` and `engine_choice` decide which of the eligible engines to avoid and which
--- a/src/controller/engine_choice.rs
+++ b/src/controller/engine_choice.rs
@@ -96,7 +96,8 @@
         let kinds = self.summarize_kinds(now, &candidates);
         let locked = self.engines_with_locked_data(&query);
         let choice = self.best_candidate(now, &query, &candidates, &kinds, &locked)?;
-        // On an engine where its data set is locked, the query would block and use up the gateway's capacity.
+        // A query that blocks on a locked data set uses up the gateway's capacity, so none starts there when capacity
+        // is short.
         if locked.contains(&choice.engine) && self.open_queries_left() < 0.0 {
             return None;
         }
--- a/src/controller/engine_state.rs
+++ b/src/controller/engine_state.rs
@@ -13,9 +13,10 @@
     /// Number of gateways that use the engine, including this one.
     pub(crate) gateways: f64,
     /// Whether an attempt or a health check has ended (with any result) or a load report has arrived since the engine's
-    /// start.
+    /// current process was first listed.
     pub(crate) contacted: bool,
-    /// Random number from 0 to 1, drawn at the engine's start, that keeps gateways from acting at the same time.
+    /// Random number from 0 (inclusive) to 1 (exclusive), drawn when a new process is listed at this index. Keeps
+    /// gateways from acting at the same time.
     pub(crate) jitter: f64,
     pub(crate) in_flight: InFlightTotals,
     pub(crate) load: ObservedLoad,
@@ -124,7 +125,7 @@
 pub(crate) struct WorkBudget {
     /// Time at which this gateway was notified of the engine's start, in seconds.
     pub(super) notified_at: f64,
-    /// Last query admitted before the start; the budget becomes due in quanta of its expected work.
+    /// Last query admitted before the notification; the budget becomes due in quanta of its expected work.
     pub(super) sample_query: Option<Query>,
     /// Work sent or expired since the notification, in seconds on one thread.
     pub(super) spent: f64,
--- a/src/controller/health_checks.rs
+++ b/src/controller/health_checks.rs
@@ -11,8 +11,9 @@
 const HEALTH_CHECKS_PER_QUERY: f64 = 0.05;
 
 impl AdmissionController {
-    /// Reports the end of a health check or of an attempt to connect to the engine in advance. The caller passes a load
-    /// report that came with it to [`Self::load_reported`]. Results for unknown engines are ignored.
+    /// Reports the end of a health check or of an attempt to connect to the engine in advance. Only a failed connection
+    /// counts as a failure of the engine. The caller passes a load report that came with the health check to
+    /// [`Self::load_reported`]. Results for unknown engines are ignored.
     pub fn health_check_ended(&mut self, now: f64, engine: EngineId, end: AttemptEnd) {
         let Some(state) = self.engines.get_mut(engine) else {
             return;
--- a/src/controller/key_order.rs
+++ b/src/controller/key_order.rs
@@ -7,7 +7,7 @@
 use crate::api::{AttemptEnd, Query, QueryId};
 use std::collections::VecDeque;
 
-/// Unfinished queries of an ordering key, oldest first.
+/// Queries of an ordering key that are not over or have an attempt in flight, oldest first.
 #[derive(Default)]
 pub(crate) struct KeyQueue {
     pub(crate) queries: VecDeque<QueryId>,
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Queues the first query of a key for placement, or schedules a timer if the key is still paused. Forgets a key
-    /// that has no queries.
+    /// Queues the first query of a key for placement, or schedules a timer if the key is still paused. Removes the
+    /// state of a key that is not paused and has no queries.
     pub(super) fn release_key(&mut self, now: f64, key: u64) {
         let Some(key_queue) = self.key_queues.get(&key) else {
             return;
--- a/src/controller/load.rs
+++ b/src/controller/load.rs
@@ -1,6 +1,6 @@
 //! Determines the load of engines and of whole kinds.
 //!
-//! Loads are in units of the load limit: an engine with load 1 runs [`LOAD_LIMIT_THREADS_PER_CORE`] threads per core.
+//! Loads are in units of the load limit: a load of 1 corresponds to [`LOAD_LIMIT_THREADS_PER_CORE`] threads per core.
 //!
 //! | quantity | module |
 //! |---|---|
@@ -17,7 +17,7 @@
 pub(super) use engine_load::engine_load;
 pub(crate) use reports::InFlightTime;
 
-/// Number of threads per core up to which engines are used.
+/// Number of threads per core that corresponds to the load limit.
 const LOAD_LIMIT_THREADS_PER_CORE: f64 = 1.5;
 /// Fraction of an engine's memory in use that corresponds to the load limit.
 const MEMORY_FRACTION_AT_LOAD_LIMIT: f64 = 0.7;
--- a/src/controller/load/inference.rs
+++ b/src/controller/load/inference.rs
@@ -6,10 +6,10 @@
 use crate::controller::engine_state::EngineState;
 use crate::controller::AdmissionController;
 
-/// Age in seconds up to which a load report counts as recent. An engine with a recent report is not closed by inferred
-/// load alone.
+/// Age in seconds up to which a load report counts as recent. Inferred load alone does not bring an engine with a
+/// recent report to the load limit.
 const RECENT_REPORT_SECONDS: f64 = 2.0;
-/// Load that ranks an engine behind less loaded ones without closing it.
+/// Load that ranks an engine behind less loaded ones but is still below the load limit.
 const JUST_BELOW_LOAD_LIMIT: f64 = 1.0 - 1e-3;
 
 impl AdmissionController {
@@ -37,8 +37,8 @@
 }
 
 /// Returns the load up to which inference may raise an engine's load. After a recent load report it is just below the
-/// limit, unless the engine is already above it, so that inferred load only affects the engine's rank and does not
-/// close it.
+/// limit, unless the engine's load is already higher, so that inferred load affects the engine's rank but does not
+/// bring it to the limit.
 fn max_inferred_load(now: f64, engine: &EngineState, known_load: f64) -> f64 {
     let report_is_recent = now - engine.load.reported_at < RECENT_REPORT_SECONDS;
     if report_is_recent {
--- a/src/controller/load/kind_load.rs
+++ b/src/controller/load/kind_load.rs
@@ -12,7 +12,7 @@
 
 impl AdmissionController {
     /// Returns the load of a kind, in units of the load limit: the higher of the reported load and the load inferred
-    /// from slow answers, rejections and overdue attempts. If engines do not report CPU utilisation, reports count only
+    /// from answers, rejections and overdue attempts. If engines do not report CPU utilisation, reports count only
     /// while the inferred load is at or above the limit.
     pub(in crate::controller) fn kind_load(&self, now: f64, kind: usize) -> f64 {
         let Some(kind_state) = self.kinds.get(&kind) else {
--- a/src/controller/load/reports.rs
+++ b/src/controller/load/reports.rs
@@ -8,14 +8,15 @@
 /// Fraction of busy cores that corresponds to the load limit. Less than 1, because threads also wait for reads and
 /// writes.
 const CPU_FRACTION_AT_LOAD_LIMIT: f64 = 0.9;
-/// Fraction of disk time in use that corresponds to the load limit.
+/// Fraction of time for which the disks are busy that corresponds to the load limit.
 const DISK_FRACTION_AT_LOAD_LIMIT: f64 = 0.95;
 /// Number of queries waiting for memory, per core, that corresponds to the load limit.
 const MEMORY_WAITERS_PER_CORE_AT_LOAD_LIMIT: f64 = 0.1;
 /// Upper limit of the load derived from queries waiting for memory, in units of the load limit.
 const MAX_LOAD_BY_MEMORY_WAITERS: f64 = 2.0;
 
-/// Total time in flight of this gateway's attempts, from which their mean number of threads is derived.
+/// Total time in flight of this gateway's attempts that succeeded or timed out, from which their mean number of threads
+/// is derived.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct InFlightTime {
     pub(crate) thread_seconds: f64,
@@ -42,7 +43,8 @@
         let kind_load = self.kind_load(now, kind);
         let engine_load = engine_load(now, kind_load, &self.engines[engine]);
         let observed = &mut self.engines[engine].load;
-        // A lower load counts only half, because an engine whose queries are blocked looks idle.
+        // A reported load below the assumed one is averaged with it, because an engine whose queries are blocked looks
+        // idle.
         observed.load = reported_load.max((reported_load + engine_load) / 2.0);
         observed.observed_at = now;
         observed.reported_at = now;
--- a/src/controller/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -19,19 +19,20 @@
 /// Fraction of the gateway's capacity that open queries (waiting or in flight) may use before waiting ones are shed.
 /// The rest is reserved for bursts.
 const OPEN_QUERIES_CAPACITY_FRACTION: f64 = 0.5;
-/// Time in seconds for which a query past its latency objective may wait behind more valuable ones.
+/// Time in seconds until the latest start that is assumed for a query that can no longer meet its latency objective.
+/// The query may spend [`MAX_WAIT_FRACTION`] of it behind more valuable ones.
 const LATE_QUERY_SLACK_SECONDS: f64 = 0.2;
 
 /// Value and maximum wait of a waiting query.
 struct SheddingEstimate {
     /// Value of the answer per second of work on one thread.
     value_density: f64,
-    /// Seconds for which the query may wait behind other work; negative if it is too late for an answer in time.
+    /// Seconds for which the query may wait behind other work; negative if an answer before the deadline is impossible.
     max_wait: f64,
 }
 
 impl SheddingEstimate {
-    /// Returns whether an answer in time is impossible or would have no value.
+    /// Returns whether an answer before the deadline is impossible, or an answer would have no value.
     fn is_too_late(&self) -> bool {
         self.value_density <= 0.0 || self.max_wait < 0.0
     }
@@ -78,8 +79,8 @@
     fn expected_service(&self, query: &Query) -> f64 {
         let class = &self.settings.classes[query.class];
         let statistics = &self.class_statistics[query.class];
-        // Before the first answer, the expected work is a fraction of the class's deadline, which can be hours. It must
-        // not lead to the rejection of queries that have only seconds.
+        // Before the first answer, the expected work is a fraction of the class's deadline, which can be hours. This
+        // initial value must not lead to the rejection of queries that have only seconds left.
         let longest = if statistics.answers == 0 {
             class.deadline.min(query.remaining_time)
         } else {
@@ -89,8 +90,8 @@
         service.min(longest * MAX_SERVICE_FRACTION)
     }
 
-    /// Returns whether a queued query is pointless: an answer in time is impossible or would have no value, or the
-    /// rules no longer allow the retry for which it waits.
+    /// Returns whether a queued query is pointless: an answer before the deadline is impossible, an answer would have
+    /// no value, or the rules no longer allow the retry for which the query waits.
     pub(super) fn should_abandon(&self, now: f64, state: &QueryState) -> bool {
         let shedding_estimate = self.shedding_estimate(now, state);
         shedding_estimate.is_too_late() || (state.attempts > 0 && !self.may_retry(now, state))
@@ -126,7 +127,8 @@
                 continue;
             }
             work_ahead += work;
-            // Queues run in the order of admission, so a less valuable query that is kept can delay this one.
+            // Queues run in the order of admission, so less valuable queries can delay this one. They are kept only if
+            // the work ahead of them takes at most `MAX_WAIT_FRACTION` of this query's latency objective.
             shortest_wait = shortest_wait.min(latency_objective * MAX_WAIT_FRACTION);
         }
     }
--- a/src/controller/outlier_ejection.rs
+++ b/src/controller/outlier_ejection.rs
@@ -1,5 +1,5 @@
 //! Implements outlier ejection: an engine whose attempts fail far more often than the mean of the pool is not used for
-//! a while. After that, it runs one query at a time until its failure rate is below the threshold.
+//! a while. Any engine whose failure rate is above the threshold, ejected before or not, runs one query at a time.
 
 use super::engine_state::EngineState;
 use super::{AdmissionController, MAX_PLACEMENT_RETRY_DELAY_SECONDS};
@@ -7,9 +7,10 @@
 
 /// Weight of a failed attempt in the failure rate; a success has half the weight. With
 /// [`HEALTH_DECAY_SECONDS`](super::HEALTH_DECAY_SECONDS), 4 failures at once exceed [`EJECTION_FAILURE_RATE`], as do 7
-/// failures at one per second; failures more than 1.2 s apart never exceed it.
+/// failures at one per second; failures 1.24 s or more apart never exceed it.
 const FAILURE_WEIGHT: f64 = 0.3;
-/// Failure rate above which an engine can be ejected. An engine that fails only some of its attempts stays in use.
+/// Failure rate above which an engine can be ejected and runs one query at a time. An engine that fails only some of
+/// its attempts stays in use.
 const EJECTION_FAILURE_RATE: f64 = 0.75;
 /// Ratio to the pool's mean failure rate above which an engine is an outlier. If all engines fail alike, ejection would
 /// cost more than it gains.
@@ -20,7 +21,7 @@
 const EJECTION_SECONDS: f64 = 2.0;
 
 /// Returns whether an engine may be used: it is not being avoided, and its failure rate is below the threshold or it
-/// has no attempt in flight. An attempt with an unknown outcome counts as in flight until its end is proved.
+/// has no attempt in flight. An attempt with an unknown outcome counts as in flight until its end is reported.
 pub(super) fn is_available(engine: &EngineState, now: f64) -> bool {
     engine.health.avoided_until <= now
         && (engine.health.failure_rate(now) <= EJECTION_FAILURE_RATE
--- a/src/controller/query_state.rs
+++ b/src/controller/query_state.rs
@@ -29,7 +29,8 @@
     /// Number of attempts started.
     pub(crate) attempts: u32,
     pub(crate) in_flight: Option<Attempt>,
-    /// First attempt that may have run; `None` if provably no attempt has run.
+    /// First attempt that ended, or whose outcome was reported as unknown, without proof that it never ran; `None` if
+    /// there is none.
     pub(crate) may_have_run: Option<Attempt>,
     /// Whether the query's body is no longer stored, so that the query cannot be sent again.
     pub(crate) body_discarded: bool,
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns the work that becomes due at once, in seconds on one thread: the expected work of the sample query, or
-    /// the mean work of admitted queries.
+    /// the mean work of admitted queries if there is no sample query; at most the largest work of a single query.
     fn budget_quantum(&self, now: f64, engine: &EngineState, slow_start: &SlowStart) -> f64 {
         let work = match &engine.work_budget.sample_query {
             Some(query) => self.expected_work(query),
--- a/src/controller/stalled_attempts.rs
+++ b/src/controller/stalled_attempts.rs
@@ -10,7 +10,8 @@
 /// Slowdown (ratio of latency to uncontended run time) above which an attempt in flight counts as overdue if its query
 /// has a work estimate.
 const OVERDUE_SLOWDOWN: f64 = MAX_OBSERVED_LOAD * SLOWDOWN_AT_LOAD_LIMIT;
-/// Exponent of the uncertainty factor by which the overdue time is extended for a query without a work estimate.
+/// Exponent applied to the uncertainty factor of the expected work. The result multiplies the time after which an
+/// attempt is overdue if its query has no work estimate.
 const UNCERTAINTY_EXPONENT: i32 = 4;
 /// Number of progress intervals without an event after which an attempt counts as lost. One late event is common, two
 /// are rare.
@@ -18,7 +19,8 @@
 
 impl AdmissionController {
     /// Reports a progress event from an engine. `attempt` is the number of the attempt within the query, from 0. Events
-    /// of any but the latest attempt are ignored.
+    /// of any but the latest attempt are ignored. An attempt that waits for a data load is cancelled if its query may
+    /// run on another engine.
     pub fn attempt_progressed(&mut self, now: f64, id: QueryId, attempt: u32, progress: Progress) {
         let Some(state) = self.queries.get_mut(&id) else {
             return;
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -8,7 +8,7 @@
 pub(crate) enum Timer {
     /// Periodic check of waiting queries and of attempts in flight.
     Tick,
-    /// Placement of a held-back query is retried: it was refused a start above the load limit or had no usable engine.
+    /// Retry of the placement of a query that was refused a start above the load limit or had no usable engine.
     PlacementRetry,
     /// Last time at which a query can be answered before its deadline.
     Deadline(QueryId),
