--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -1,5 +1,5 @@
 //! Tests that gateways with the same endpoint list do not all check the same engines first. Otherwise all gateways
-//! would prefer these engines.
+//! would prefer these engines, because an idle engine that has been contacted can rank ahead of one that has not.
 
 #[allow(dead_code)]
 mod helper;
@@ -9,7 +9,7 @@
 
 const GATEWAYS: u64 = 60;
 const ENGINES: usize = 60;
-/// Number of queries, which allows three health checks.
+/// Number of queries. At 0.05 health checks per query, they allow three.
 const QUERIES: usize = 60;
 
 /// Returns the first two engines that a gateway checks.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -378,7 +378,8 @@
     }
 }
 
-/// Guards against sending readers to an engine on which their data set is locked by a load.
+/// Guards against leaving a reader blocked on an engine on which a load locks its data set: after the engine has
+/// reported the wait, the attempt is cancelled and the query is sent to the other engine.
 #[test]
 fn readers_avoid_a_reported_lock() {
     let reader = QueryClass {
@@ -559,9 +560,9 @@
 }
 
 /// Calculation for 100 gateways: the share of one gateway is 2 x 0.5 x 8 cores x 0.85 x 0.6 / 100 = 0.041 s of work per
-/// second. In 9.8 s plus half a window, this is 0.44 s per gateway and 44 s for all gateways, or 220 queries of 0.2 s.
-/// The largest query is 0.1 x 2 x 2 x 8 = 3.2 s, so 14 gateways send up to 16 queries each. In any 2 s, the work must
-/// not exceed 2 x 8 x 2 = 32 s times the effective fraction of cores.
+/// second, or 0.08 s in a window of 2 s, which is less than one query of 0.2 s. In 9.8 s, the share is 0.4 s per
+/// gateway and 40 s for all gateways, so each gateway sends two queries and all gateways send 200. In any 2 s, the work
+/// must not exceed 2 x 8 x 2 = 32 s times the effective fraction of cores.
 #[test]
 fn slow_start_shares_under_one_query_neither_starve_nor_overload() {
     let warm_up = Some(SlowStart {
@@ -663,10 +664,12 @@
     assert!(sent < 5, "{sent} of 10 queries sent");
 }
 
-/// A gateway's share of an engine depends on the number of gateways that use the engine. Calculation: ten answers with
-/// load 2 give the kind a load of 2 x 10 / 10.5 = 1.9. Its 10 engines with 8 cores x 1.5 threads give each of 100
-/// gateways 1.2 threads, each of 10 gateways 12 threads, and a single gateway 120 threads. The load with the first
-/// query is then 1.4, 1.0 and 0.96; with the tenth query and 10 gateways it is 1.4.
+/// A gateway's share of an engine depends on the number of gateways that use the engine. Calculation: the ten slow
+/// queries are spread evenly over both kinds, so each kind has five answers with load 2, which give it a load of
+/// 2 x 5 / 5.5 = 1.82. Its 10 engines with 8 cores x 1.5 threads give each of 100 gateways 1.2 threads, each of 10
+/// gateways 12 threads, and a single gateway 120 threads. The load of a kind with its first query is then 1.33, 0.95
+/// and 0.91. With 10 gateways, it exceeds 1 from the third query of the kind on; with a single gateway, it is 0.93 with
+/// the fifth.
 #[test]
 fn share_of_an_overloaded_kind_depends_on_the_gateways_of_its_engines() {
     let sent = [None, Some(100.0), Some(10.0), Some(1.0)].map(|gateways_per_engine| {
@@ -703,8 +706,8 @@
     );
 }
 
-/// Guards against health checks from every gateway to every engine. 60 queries allow 3 health checks, and successive
-/// checks go to different engines.
+/// Guards against health checks from every gateway to every engine. At 0.05 health checks per query, 61 queries allow
+/// 3, and successive checks go to different engines.
 #[test]
 fn health_checks_are_limited_by_queries_and_alternate_between_engines() {
     let classes = vec![query_class(Idempotency::Idempotent)];
@@ -882,7 +885,7 @@
 }
 
 /// A query counts as one that may have run while the outcome of an attempt is unknown. If the attempt is then proved
-/// not to have run, only that attempt stops counting.
+/// not to have run, that attempt no longer counts, but other attempts that may have run still do.
 #[test]
 fn attempt_proved_not_to_have_run_no_longer_counts_as_one_that_may_have_run() {
     let by_key = Idempotency::IdempotentByKey {
--- a/tests/slow_start_sum.rs
+++ b/tests/slow_start_sum.rs
@@ -85,7 +85,7 @@
     first_query_at: f64,
     /// Times, in seconds, at which gateways restart, and the fraction of the gateways that does.
     restarts: Vec<(f64, f64)>,
-    /// Whether restarted gateways choose their engines anew.
+    /// Whether a restarted gateway may get another engine subset.
     new_members_on_restart: bool,
     /// Number of engines that each gateway uses; `None` for all.
     subset_size: Option<usize>,
@@ -207,8 +207,8 @@
             .collect()
     }
 
-    /// Returns the number of gateways that use an engine of a kind: the mean plus two standard deviations, as in the
-    /// calculation for endpoint subsets.
+    /// Returns the number of gateways that are expected to use an engine of a kind: the mean plus two standard
+    /// deviations, as in the gateway's calculation for engine subsets.
     fn expected_gateways_per_engine(&self, size: usize, kind: usize) -> f64 {
         let hold_probability = |t: f64, kind: usize| 1.0 - (-t * CORES[kind]).exp();
         let sum = |t: f64| {
@@ -823,8 +823,8 @@
     check_budget_with_subsets(300, 0.3);
 }
 
-/// The check must detect, in each of these scenarios, that each gateway of a subset assumes to be the only one that
-/// uses an engine.
+/// The check must fail in each of these scenarios if each gateway with an engine subset assumes to be the only one that
+/// uses its engines.
 #[test]
 fn check_detects_gateways_that_each_assume_to_be_alone_in_a_subset() {
     for (name, vary) in [
