--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -94,10 +94,10 @@
             jitter: engine.jitter,
             budget: &engine.work_budget,
         };
-        let lapsed = schedule.due_at(now - MAX_SAVED_WINDOWS * slow_start.window);
+        let expired = schedule.due_at(now - MAX_SAVED_WINDOWS * slow_start.window);
         BudgetBalance {
             due: schedule.due_at(now),
-            spent: lapsed.max(engine.work_budget.spent),
+            spent: expired.max(engine.work_budget.spent),
         }
     }
 
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -117,7 +117,7 @@
     }
 
     pub fn seeded(s: Settings, engines: usize, seed: u64) -> Simulation {
-        Simulation::of(s, (0..engines).map(endpoint).collect(), seed)
+        Simulation::with_endpoints(s, (0..engines).map(endpoint).collect(), seed)
     }
 
     /// Creates a simulation whose endpoints give `gateways_per_engine` as the number of gateways that use them.
@@ -126,7 +126,7 @@
         s: Settings,
         engines: usize,
     ) -> Simulation {
-        Simulation::of(
+        Simulation::with_endpoints(
             s,
             (0..engines)
                 .map(|engine| Endpoint {
@@ -138,8 +138,8 @@
         )
     }
 
-    fn of(s: Settings, endpoint_list: Vec<Endpoint>, seed: u64) -> Simulation {
-        let start_times = vec![1000.0; endpoint_list.len()];
+    fn with_endpoints(s: Settings, endpoint_list: Vec<Endpoint>, seed: u64) -> Simulation {
+        let initial_notifications = vec![1000.0; endpoint_list.len()];
         let mut sim = Simulation {
             controller: AdmissionController::new(s.clone(), seed, 1000.0),
             settings: s,
@@ -151,7 +151,7 @@
             endpoint_subsets: Vec::new(),
             send_timeouts: Vec::new(),
             waits: Vec::new(),
-            notified_at: start_times,
+            notified_at: initial_notifications,
             retries: Vec::new(),
             admissions: Vec::new(),
         };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -381,7 +381,7 @@
 /// Guards against leaving a reader blocked on an engine on which a load locks its data set: after the engine has
 /// reported the wait, the attempt is cancelled and the query is sent to the other engine.
 #[test]
-fn readers_avoid_a_reported_lock() {
+fn a_reader_blocked_by_a_data_load_is_sent_to_another_engine() {
     let reader = QueryClass {
         waits_for_data_loads: true,
         ..query_class(Idempotency::Idempotent)
--- a/tests/slow_start_sum.rs
+++ b/tests/slow_start_sum.rs
@@ -286,10 +286,10 @@
             .map(|n| f64::from(n) * STEP)
             .take_while(|now| *now < end)
         {
-            if let Some((_, part)) = restarts.first().copied().filter(|(at, _)| *at <= now) {
+            if let Some((_, fraction)) = restarts.first().copied().filter(|(at, _)| *at <= now) {
                 restarts.remove(0);
                 for g in &mut gateways {
-                    if rng.uniform() < part {
+                    if rng.uniform() < fraction {
                         let seed = (rng.uniform() * 1e15) as u64;
                         let notified =
                             self.starts.iter().zip(&g.notified).map(|((start, _), t)| {
@@ -591,16 +591,16 @@
                 * SLOW_START.duration);
     }
     for (n, s) in sent.iter().enumerate() {
-        let part = |s: &Sent| {
+        let work_in_queries = |s: &Sent| {
             (
                 s.work / mean_work,
                 if s.notified { s.work / mean_work } else { 0.0 },
             )
         };
-        (all, notified) = (all + part(s).0, notified + part(s).1);
+        (all, notified) = (all + work_in_queries(s).0, notified + work_in_queries(s).1);
         while sent[first].at <= s.at - SLOW_START.window || sent[first].at < start {
-            let gone = part(&sent[first]);
-            (all, notified) = (all - gone.0, notified - gone.1);
+            let expired = work_in_queries(&sent[first]);
+            (all, notified) = (all - expired.0, notified - expired.1);
             first += 1;
             if first > n {
                 break;
