--- a/src/api.rs
+++ b/src/api.rs
@@ -284,7 +284,8 @@
     pub memory: Option<f64>,
 }
 
-/// Progress event of an attempt in flight.
+/// Progress event of an attempt in flight. Every event shows the controller that the attempt is alive; only
+/// [`Self::WaitingForDataLoad`] has a further effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
     /// Fraction of the work that is done, from 0 to 1.
