--- a/src/controller/attempt.rs
+++ b/src/controller/attempt.rs
@@ -7,7 +7,7 @@
 //!
 //! Rule: a query counts as one that may have run as soon as the outcome of an attempt is reported as unknown, or an
 //! attempt ends without proof that it never ran. If an attempt with an unknown outcome is later proved not to have run,
-//! it no longer counts.
+//! that attempt no longer counts.
 
 use super::attempt_state::Attempt;
 use super::query_state::{QueryPhase, QueryState};
--- a/tests/slow_start_sum.rs
+++ b/tests/slow_start_sum.rs
@@ -576,9 +576,9 @@
 }
 
 /// Measures each window that ends at an attempt during slow start. Work and budget are counted in queries of mean work,
-/// so the square root of the budget is the standard deviation of a Poisson-distributed number of queries with that mean.
-/// The budget is computed with the initial fraction of cores for the whole of slow start, because the settings give this
-/// fraction but not how it rises.
+/// so the square root of the budget is the standard deviation of a Poisson-distributed number of queries with that
+/// mean. The budget is computed with the initial fraction of cores for the whole of slow start, because the settings
+/// give this fraction but not how it rises.
 fn measure(sent: &[Sent], start: f64, cores: f64, mean_work: f64) -> BudgetUse {
     let mut usage = BudgetUse {
         engines: 1.0,
