--- a/tests/slow_start_sum.rs
+++ b/tests/slow_start_sum.rs
@@ -85,7 +85,7 @@
     first_query_at: f64,
     /// Times, in seconds, at which gateways restart, and the fraction of the gateways that does.
     restarts: Vec<(f64, f64)>,
-    /// Whether restarted gateways choose their engines anew.
+    /// Whether a restarted gateway may get another engine subset.
     new_members_on_restart: bool,
     /// Number of engines that each gateway uses; `None` for all.
     subset_size: Option<usize>,
@@ -207,8 +207,8 @@
             .collect()
     }
 
-    /// Returns the number of gateways that use an engine of a kind: the mean plus two standard deviations, as in the
-    /// calculation for endpoint subsets.
+    /// Returns the number of gateways that are expected to use an engine of a kind: the mean plus two standard
+    /// deviations, as in the gateway's calculation for engine subsets.
     fn expected_gateways_per_engine(&self, size: usize, kind: usize) -> f64 {
         let hold_probability = |t: f64, kind: usize| 1.0 - (-t * CORES[kind]).exp();
         let sum = |t: f64| {
@@ -286,10 +286,10 @@
             .map(|n| f64::from(n) * STEP)
             .take_while(|now| *now < end)
         {
-            if let Some((_, part)) = restarts.first().copied().filter(|(at, _)| *at <= now) {
+            if let Some((_, fraction)) = restarts.first().copied().filter(|(at, _)| *at <= now) {
                 restarts.remove(0);
                 for g in &mut gateways {
-                    if rng.uniform() < part {
+                    if rng.uniform() < fraction {
                         let seed = (rng.uniform() * 1e15) as u64;
                         let notified =
                             self.starts.iter().zip(&g.notified).map(|((start, _), t)| {
@@ -575,8 +575,10 @@
     }
 }
 
-/// Measures each window that ends at an attempt during slow start. The budget is computed with the initial fraction of
-/// cores for the whole of slow start, because the settings give this fraction but not how it rises.
+/// Measures each window that ends at an attempt during slow start. Work and budget are counted in queries of mean work,
+/// so the square root of the budget is the standard deviation of a Poisson-distributed number of queries with that
+/// mean. The budget is computed with the initial fraction of cores for the whole of slow start, because the settings
+/// give this fraction but not how it rises.
 fn measure(sent: &[Sent], start: f64, cores: f64, mean_work: f64) -> BudgetUse {
     let mut usage = BudgetUse {
         engines: 1.0,
@@ -591,16 +593,16 @@
                 * SLOW_START.duration);
     }
     for (n, s) in sent.iter().enumerate() {
-        let part = |s: &Sent| {
+        let work_in_queries = |s: &Sent| {
             (
                 s.work / mean_work,
                 if s.notified { s.work / mean_work } else { 0.0 },
             )
         };
-        (all, notified) = (all + part(s).0, notified + part(s).1);
+        (all, notified) = (all + work_in_queries(s).0, notified + work_in_queries(s).1);
         while sent[first].at <= s.at - SLOW_START.window || sent[first].at < start {
-            let gone = part(&sent[first]);
-            (all, notified) = (all - gone.0, notified - gone.1);
+            let expired = work_in_queries(&sent[first]);
+            (all, notified) = (all - expired.0, notified - expired.1);
             first += 1;
             if first > n {
                 break;
@@ -823,8 +825,8 @@
     check_budget_with_subsets(300, 0.3);
 }
 
-/// The check must detect, in each of these scenarios, that each gateway of a subset assumes to be the only one that
-/// uses an engine.
+/// The check must fail in each of these scenarios if each gateway with an engine subset assumes to be the only one that
+/// uses its engines.
 #[test]
 fn check_detects_gateways_that_each_assume_to_be_alone_in_a_subset() {
     for (name, vary) in [
