--- a/crates/scale/src/real_processes/change_log.rs
+++ b/crates/scale/src/real_processes/change_log.rs
@@ -1,5 +1,6 @@
-//! The change log's stand-in: numbered server-sent events, a comment each second, resume by the last event's number, and
-//! the whole list for readers that are too far behind. It has a thread of its own, so that its processor time is known.
+//! Simulates the change log: serves numbered server-sent events with a comment each second, resumes after the reader's
+//! last event, and sends the whole list to readers that are too far behind. The server runs on its own thread so that
+//! its processor time can be measured separately.
 
 mod addresses;
 mod history;
@@ -22,7 +23,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// A log that runs; it ends when this is dropped.
+/// Handle of a running change log. Dropping the handle stops the log's server.
 pub struct ChangeLog {
     shared: Arc<Shared>,
     pub port: u16,
@@ -31,7 +32,8 @@
 }
 
 impl ChangeLog {
-    /// Starts a log whose first event is the whole list.
+    /// Binds a free port on all addresses and starts the server. The first event is the whole list. `engine_ports`
+    /// holds, for each gateway, the port at which that gateway reaches the engines.
     pub fn start(
         endpoint_list: EndpointList,
         engine_ports: Vec<u16>,
@@ -52,7 +54,7 @@
         })
     }
 
-    /// Processor time of the log's thread, in seconds.
+    /// Processor time in seconds that the log's thread has used; NaN if /proc can't be read.
     pub fn processor_seconds(&self) -> f64 {
         let text = std::fs::read_to_string(&self.thread_statistics).unwrap_or_default();
         let nanoseconds = text
@@ -78,7 +80,7 @@
         self.shared.history().last
     }
 
-    /// What a gateway's configuration says under `known`: the current list.
+    /// Value of `known` in a gateway's configuration: the current list, with the number of the last event.
     pub fn known(&self, gateway: usize) -> Value {
         let mut history = self.shared.history();
         let data = rendered_data(&history.whole(), self.shared.engine_ports[gateway]);
@@ -86,7 +88,7 @@
         json!({"seq": history.last, "results": [event_data]})
     }
 
-    /// Changes the list and publishes the entries that `change` returns.
+    /// Applies `change` to the list and publishes the entries that it returns as one event.
     pub fn change(&self, change: impl FnOnce(&mut EndpointList) -> Vec<Value>) {
         let mut history = self.shared.history();
         let entries = change(&mut history.endpoint_list);
@@ -95,7 +97,7 @@
         self.append(&mut history, number, data, &entries);
     }
 
-    /// Publishes the whole list again.
+    /// Publishes the whole, unchanged list as a new event.
     pub fn publish_whole_list(&self) {
         let mut history = self.shared.history();
         let number = history.last + 1;
@@ -134,7 +136,7 @@
         self.shared.last.send_replace(number);
     }
 
-    /// A copy of the current list.
+    /// Returns a copy of the current list.
     pub fn endpoint_list(&self) -> EndpointList {
         self.shared.history().endpoint_list.clone()
     }
@@ -156,7 +158,7 @@
     })
 }
 
-/// Serves the log on a thread of its own until it is stopped; returns the thread's folder in /proc.
+/// Serves the log on its own thread until `stopped` resolves. Returns the thread's folder in /proc.
 fn spawn_server(
     listener: std::net::TcpListener,
     shared: Arc<Shared>,
--- a/crates/scale/src/real_processes/change_log/history.rs
+++ b/crates/scale/src/real_processes/change_log/history.rs
@@ -1,34 +1,34 @@
-//! The events of the log, as they are stored and as they are sent.
+//! Stores the change log's events and renders them for sending.
 
 use crate::real_processes::endpoint_list::{event_data, EndpointList, PORT_PLACEHOLDER};
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// Events that are retained; a reader further behind gets the whole list.
+/// Number of events that are retained. A reader further behind gets the whole list.
 const HISTORY_EVENTS: usize = 1_024;
 
-/// An event as the log stores it.
+/// An event of the change log.
 pub struct PublishedEvent {
     pub number: u64,
-    /// With a placeholder for the engines' port.
+    /// JSON data of the event, with [`PORT_PLACEHOLDER`] for the engines' port.
     pub data: String,
-    /// As watchers get it.
+    /// The complete event as it is sent to watchers, without a port of the engines.
     pub rendered: Bytes,
-    /// A gateway that never receives it, an injected fault.
+    /// Injected fault: the gateway that never receives this event.
     pub withheld_from: Option<usize>,
 }
 
-/// The list, and the events that led to it.
+/// The current endpoint list and the most recent events.
 pub struct History {
     pub endpoint_list: EndpointList,
     pub last: u64,
     pub events: VecDeque<PublishedEvent>,
-    /// The whole list at the last event, while nothing has changed since it was made.
+    /// Cache: the number of the last event and the data of a full-list event with that number.
     whole: Option<(u64, String)>,
 }
 
 impl History {
-    /// A history whose first event is the whole list.
+    /// Creates a history whose first event, number 1, is the whole list.
     pub fn new(endpoint_list: EndpointList) -> History {
         let data = event_data(1, true, &endpoint_list.entries());
         History {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Adds an event as the last one.
+    /// Appends an event and drops the oldest one if more than [`HISTORY_EVENTS`] are stored.
     pub fn push(&mut self, event: PublishedEvent) {
         self.last = event.number;
         self.events.push_back(event);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Data of the event that brings a reader up to date at once.
+    /// Data of an event that carries the whole list under the number of the last event.
     pub fn whole(&mut self) -> String {
         match &self.whole {
             Some((number, data)) if *number == self.last => data.clone(),
@@ -61,12 +61,13 @@
     }
 }
 
-/// An event's data for a reader that reaches the engines at this port.
+/// Replaces the placeholder in an event's data by the port at which the reader reaches the engines; by 1 if `port` is
+/// 0, which watchers get because they open no connections to engines.
 pub fn rendered_data(data: &str, port: u16) -> String {
     data.replace(PORT_PLACEHOLDER, &port.max(1).to_string())
 }
 
-/// An event as it is sent.
+/// Renders an event in the server-sent events format.
 pub fn frame(number: u64, data: &str) -> Bytes {
     Bytes::from(format!("id: {number}\ndata: {data}\n\n"))
 }
--- a/crates/scale/src/real_processes/change_log/reader.rs
+++ b/crates/scale/src/real_processes/change_log/reader.rs
@@ -1,4 +1,4 @@
-//! The log's connections: each reader gets a stream of the events after the last one that it names.
+//! Serves the change log's connections. Each reader gets a stream of the events after the one in its `last-event-id`.
 
 use super::addresses::gateway_of;
 use super::history::{frame, rendered_data, History, PublishedEvent};
@@ -19,25 +19,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Protocol: the interval of comments.
+/// Interval of comments on an idle stream, from the protocol.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
 const COMMENT: &[u8] = b":\n\n";
-/// What a watch costs while nothing changes.
+/// Bytes per second that a stream carries while the list does not change.
 pub const COMMENT_BYTES_PER_SECOND: f64 = COMMENT.len() as f64;
-/// A reader that takes no bytes for this long is disconnected.
+/// Timeout for a reader to accept bytes; after it the reader's stream is closed.
 const SLOW_READER_TIMEOUT: Duration = Duration::from_secs(10);
-/// A reader that names no last event has none.
+/// Header with the number of the last event that the reader has. Without the header, the reader has no events.
 const LAST_EVENT: &str = "last-event-id";
-/// Injected fault: the delay of a slow log.
+/// Injected fault: delay before each write of a slow log.
 const SLOW_LOG_DELAY: Duration = Duration::from_millis(1_400);
 
-/// Serves all connections, without end.
+/// Accepts and serves connections; never returns.
 pub async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => drop(tokio::spawn(serve(stream, shared.clone()))),
             Err(error) => {
-                tracing::warn!(%error, "change log can't accept");
+                tracing::warn!(%error, "simulated change log can't accept a connection; retrying");
                 sleep(Duration::from_millis(10)).await;
             }
         }
@@ -74,7 +74,7 @@
         .await;
 }
 
-/// One reader's stream.
+/// State of one reader's stream.
 struct Watch {
     shared: Arc<Shared>,
     gateway: Option<usize>,
@@ -98,7 +98,7 @@
             ) {
                 return;
             }
-            // It fails only with the log, whose end ends this task too.
+            // `changed` fails only when the log has been dropped, and then the runtime ends this task as well.
             let _ = timeout(COMMENT_INTERVAL, last.changed()).await;
         }
     }
@@ -111,7 +111,8 @@
         counter.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// Events that it has not been sent.
+    /// Returns the events that this reader has not been sent, or the whole list if some of them are no longer stored.
+    /// Advances `last_number` to the last event.
     fn due(&mut self) -> Vec<Bytes> {
         let shared = self.shared.clone();
         let mut history = shared.history();
@@ -148,7 +149,7 @@
             return event.rendered.clone();
         };
         if event.withheld_from == Some(gateway) {
-            // An empty event keeps the numbers without gaps, so that only the change is missing.
+            // An empty event keeps the numbers without gaps, so that only the change itself is missing.
             return frame(event.number, &json!({"seq": event.number}).to_string());
         }
         self.delivered(event.number);
@@ -173,7 +174,7 @@
     }
 }
 
-/// Frames to be written at once; a comment where there are none.
+/// Concatenates the frames into one write; returns a comment if there are none.
 fn joined(frames: Vec<Bytes>) -> Bytes {
     match <[Bytes; 1]>::try_from(frames) {
         Ok([one]) => one,
--- a/crates/scale/src/real_processes/change_log/shared.rs
+++ b/crates/scale/src/real_processes/change_log/shared.rs
@@ -1,4 +1,4 @@
-//! What the log's handle and its connections share.
+//! State of the change log that its handle and its connections share.
 
 use super::history::History;
 use crate::real_processes::endpoint_list::EndpointList;
@@ -7,30 +7,32 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
 
-/// Faults that the log makes on purpose.
+/// Faults that the change log injects.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LogFaults {
-    /// This gateway is not notified that engines drain.
+    /// The gateway that does not receive events with draining engines.
     pub withhold_drains_from: Option<usize>,
+    /// Delays each write to a reader.
     pub slow: bool,
 }
 
-/// The log's state and counters.
+/// State and counters of a change log.
 pub struct Shared {
     history: Mutex<History>,
+    /// Number of the last event.
     pub last: watch::Sender<u64>,
-    /// The port at which each gateway reaches the engines.
+    /// For each gateway, the port at which it reaches the engines.
     pub engine_ports: Vec<u16>,
     pub bytes_to_gateways: Vec<AtomicU64>,
     pub bytes_to_watchers: AtomicU64,
-    /// Bytes of all events appended, once each.
+    /// Bytes of all events appended, each counted once, as sent to watchers.
     pub event_bytes: AtomicU64,
     pub recorder: Recorder,
     pub faults: LogFaults,
 }
 
 impl Shared {
-    /// The state of a log whose first event is the whole list.
+    /// Creates the state of a log whose first event, number 1, is the whole list.
     pub fn new(
         endpoint_list: EndpointList,
         engine_ports: Vec<u16>,
--- a/crates/scale/src/real_processes/clients.rs
+++ b/crates/scale/src/real_processes/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send real queries at the experiment's rate, and record the outcome of each.
+//! Clients that send queries to the gateways at the experiment's rate and record the outcome of each.
 
 use super::endpoint_list;
 use super::experiment::{Experiment, InjectedFault};
@@ -19,26 +19,32 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Idle connections pooled for a gateway; the others are closed at once.
+/// Idle connections that are pooled per gateway; further ones are closed at once.
 const IDLE_CONNECTIONS: usize = 64;
+/// A pooled connection idle for longer is closed.
 const MAX_IDLE: Duration = Duration::from_secs(4);
-/// Protocol: a query that crosses a close within this time is sent again.
+/// A query that fails within this time on a pooled connection may have met the gateway closing that connection. By the
+/// protocol, the client sends the query again.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
-/// After its limit a client still waits this long, to distinguish a late answer from none.
+/// Time that a client waits beyond a query's limit, to distinguish a late answer from a lost one.
 const LATE_ANSWER_ALLOWANCE: Duration = Duration::from_millis(2_000);
-/// Protocol: requests of a key are at least 250 ms apart on new connections.
+/// Range of the time between two queries of a key, in milliseconds. The protocol requires at least 250 ms between
+/// queries of a key on new connections.
 const KEY_INTERVAL_MS: [u64; 2] = [350, 700];
-/// The mean rate that follows for one key.
+/// Mean rate of the queries of one key, which follows from [`KEY_INTERVAL_MS`].
 pub const QUERIES_PER_SECOND_OF_A_KEY: f64 =
     2_000.0 / (KEY_INTERVAL_MS[0] + KEY_INTERVAL_MS[1]) as f64;
 const OPEN_QUERIES_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Work of a query with a key, in milliseconds: often more than the pace, so that queries of a key wait for each other.
+/// Work of a query with a key, in milliseconds. Often longer than the interval of the key, so that queries of a key
+/// wait for each other.
 const KEYED_WORK_MS: [u64; 2] = [100, 600];
-/// One in so many queries is affected by an injected fault.
+/// An injected fault affects one in this many queries.
 const FAULTY_QUERY_INTERVAL: u64 = 20;
-/// Injected fault: the client's own limit is so much shorter than the one it sends, and the work exceeds it.
+/// Injected fault: milliseconds by which the client's own limit is shorter than the limit that it sends. The work
+/// [`FAULTY_WORK_MS`] exceeds the client's own limit.
 const FAULTY_LATENESS_MS: u64 = 2_900;
 const FAULTY_WORK_MS: u64 = 600;
+/// Injected fault: time between an answer and the forged attempt that follows it.
 const FAULTY_ATTEMPT_DELAY: Duration = Duration::from_millis(400);
 
 /// All clients of a run.
@@ -49,13 +55,16 @@
     recorder: Recorder,
     next_id: AtomicU64,
     idle: Mutex<HashMap<usize, Vec<(Connection, Instant)>>>,
+    /// Queries that have no outcome yet.
     open: AtomicUsize,
 }
 
+/// A query that is about to be sent.
 struct Planned {
     gateway: usize,
     class: QueryClass,
     key: Option<u64>,
+    /// Milliseconds.
     work: u64,
 }
 
@@ -77,7 +86,8 @@
         })
     }
 
-    /// Sends queries for the experiment's time, and waits for their answers.
+    /// Sends queries for the experiment's `seconds`, then waits for their answers, at most for the limit of a query and
+    /// twice [`LATE_ANSWER_ALLOWANCE`].
     pub async fn run(self: Arc<Self>) {
         let until = Instant::now() + Duration::from_secs_f64(self.experiment.seconds);
         let keys = (0..self.experiment.keys as u64)
@@ -108,7 +118,7 @@
         };
         let mut next = Instant::now();
         loop {
-            // A rate of 0 has endless gaps.
+            // A rate of 0 gives infinite gaps.
             let gap: f64 = gaps.sample(&mut random);
             next += Duration::from_secs_f64(gap.min(self.experiment.seconds));
             if next >= until {
@@ -132,7 +142,8 @@
         }
     }
 
-    /// Queries of one key, all to one gateway; it does not wait for answers, as the gateway has to.
+    /// Sends the queries of one key, all to the same gateway. The next query does not wait for the previous answer,
+    /// since ordering queries of a key is the gateway's task.
     async fn send_key(self: Arc<Self>, key: u64, until: Instant) {
         let mut random = SmallRng::seed_from_u64(self.experiment.seed ^ (key + 1) << 20);
         let gateway = key as usize % self.gateways.count();
@@ -201,7 +212,8 @@
         }
     }
 
-    /// When the query was sent, and how it ended. One that crosses the close of an idle connection is sent again, once.
+    /// Sends a query, again on a new connection if it met the close of a pooled one. Returns the start of the last
+    /// send, and the outcome.
     async fn send(
         &self,
         id: u64,
@@ -249,7 +261,7 @@
     fn inject_into(&self, outcome: Outcome) -> Outcome {
         match outcome {
             Outcome::Succeeded { .. } if self.injects(InjectedFault::LostAnswer) => {
-                Outcome::Lost("a slip".into())
+                Outcome::Lost("injected fault".into())
             }
             Outcome::Succeeded { engine } if self.injects(InjectedFault::AlteredAnswer) => {
                 Outcome::Succeeded {
@@ -260,7 +272,7 @@
         }
     }
 
-    /// Injected fault: an attempt that no gateway sent.
+    /// Injected fault: sends an engine an attempt that no gateway sent.
     async fn send_forged_attempt(&self, id: u64, gateway: usize) {
         let address = SocketAddr::from((
             IpAddr::from(endpoint_list::address(0)),
@@ -316,7 +328,7 @@
     request
 }
 
-/// What an answer says, by the rules of the protocol.
+/// Classifies an answer by the rules of the protocol.
 fn outcome(id: u64, answer: Result<Response<Bytes>, CallError>) -> Outcome {
     let answer = match answer {
         Ok(answer) => answer,
--- a/crates/scale/src/real_processes/endpoint_list.rs
+++ b/crates/scale/src/real_processes/endpoint_list.rs
@@ -1,20 +1,22 @@
-//! The list of stub engines, and its changes as the log's events.
+//! The list of stub engines, and the JSON data of the change log's events about it.
 
 use serde_json::{json, Value};
 use std::net::{IpAddr, Ipv4Addr};
 
-/// Stands in an event's text for the port at which the reader reaches the engines.
+/// Placeholder in an event's data for the port at which the reader reaches the engines.
 pub const PORT_PLACEHOLDER: &str = "@PORT@";
-/// Engines' addresses are 127.32.0.1 and up.
+/// Address of slot 0, 127.32.0.1. Each further slot has the next address.
 const FIRST_ADDRESS: u32 = 0x7f20_0001;
 
-/// Cells that the engines of all zones are spread over.
+/// Number of cells over which the engines of all zones are spread.
 const CELLS: usize = 8;
 
-/// One engine: the place of its address in the list, and which engine at that address it is.
+/// Identifies an engine by the slot of its address and by its generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EngineId {
+    /// Index of the engine's address in the list.
     pub slot: usize,
+    /// Number of engines that had this address before.
     pub generation: u32,
 }
 
@@ -24,12 +26,12 @@
     }
 }
 
-/// The address of a slot.
+/// Returns the address of a slot.
 pub fn address(slot: usize) -> Ipv4Addr {
     Ipv4Addr::from(FIRST_ADDRESS + slot as u32)
 }
 
-/// The slot of an address.
+/// Returns the slot of an address. The slot may lie beyond the end of the list; `None` for addresses below the range.
 pub fn slot(address: IpAddr) -> Option<usize> {
     match address.to_canonical() {
         IpAddr::V4(address) => u32::from(address)
@@ -39,7 +41,7 @@
     }
 }
 
-/// An engine's state in the list.
+/// State of an engine in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Serving,
@@ -48,6 +50,7 @@
 }
 
 impl State {
+    /// Value of `state` in the change log.
     pub fn word(self) -> &'static str {
         match self {
             State::Serving => "SERVING",
@@ -65,7 +68,7 @@
     started_ms: u64,
 }
 
-/// The whole list as it is published.
+/// The endpoint list that the change log publishes.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
     slots: Vec<Slot>,
@@ -73,6 +76,7 @@
 }
 
 impl EndpointList {
+    /// Creates a list of serving engines that are spread evenly over the zones.
     pub fn new(engines: usize, zones: usize) -> EndpointList {
         let slot = Slot {
             generation: 0,
@@ -109,7 +113,7 @@
         self.slots[slot].state
     }
 
-    /// Slots whose engine serves.
+    /// Returns the slots whose engine is in state [`State::Serving`].
     pub fn serving(&self) -> Vec<usize> {
         (0..self.slots.len())
             .filter(|slot| self.slots[*slot].state == State::Serving)
@@ -126,7 +130,7 @@
         self.slots[slot].state = state;
     }
 
-    /// Another engine at the same address.
+    /// Replaces the slot's engine by a new one at the same address, serving since `started_ms` of the Unix epoch.
     pub fn replace(&mut self, slot: usize, started_ms: u64) {
         let slot = &mut self.slots[slot];
         slot.generation += 1;
@@ -134,7 +138,7 @@
         slot.started_ms = started_ms;
     }
 
-    /// A change without effect on placement.
+    /// Changes the engine's weight, which has no effect on placement.
     pub fn touch(&mut self, slot: usize) {
         self.slots[slot].weight = self.slots[slot].weight % 8 + 1;
     }
@@ -146,14 +150,14 @@
             "weight": stored.weight, "started_ms": stored.started_ms})
     }
 
-    /// Entries of all engines that are not deleted.
+    /// Returns the entries of all engines that are not deleted.
     pub fn entries(&self) -> Vec<Value> {
         let known = (0..self.slots.len()).filter(|slot| self.slots[*slot].state != State::Deleted);
         known.map(|slot| self.entry(slot)).collect()
     }
 }
 
-/// An event's data.
+/// Renders the data of the event `number`. `full` tells readers that the entries are the whole list.
 pub fn event_data(number: u64, full: bool, entries: &[Value]) -> String {
     json!({"seq": number, "fleet": {"version": number, "full": full, "servers": entries}})
         .to_string()
--- a/crates/scale/src/real_processes/engines.rs
+++ b/crates/scale/src/real_processes/engines.rs
@@ -1,5 +1,5 @@
-//! Stub engines: their work is a timer. One listener for each gateway answers for all engines' addresses, so that the port
-//! identifies the gateway and the local address the engine.
+//! Stub engines, whose work is a timer. For each gateway, one listener serves the addresses of all engines: a
+//! connection's local port identifies the gateway, and its local address the engine.
 
 mod health;
 
@@ -26,24 +26,27 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-/// Protocol: a poll waits this long for the end of the query.
+/// Time that a poll waits for the end of the query, from the protocol.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Protocol: a query that is not polled ends after this.
+/// A query that is not polled for this time ends, by the protocol.
 const ABANDONED_AFTER: Duration = Duration::from_secs(observations::ABANDONED_AFTER_SECONDS);
-/// More than any statement of this run.
+/// Limit on a statement's size; larger than any statement that the clients send.
 const MAX_STATEMENT_BYTES: usize = 64 << 10;
-/// Precedes the work in a statement: `/* work 35 */`, in milliseconds.
+/// Text before the work, in milliseconds, in a statement such as `/* work 35 */`.
 const WORK_PREFIX: &str = "/* work ";
-/// A core runs one query; an engine has so many.
+/// Cores of an engine; each runs one query.
 const CORES: f64 = 8.0;
+/// Pause after a failure to accept a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
+/// A query that an engine has accepted and that has not been cancelled.
 struct Running {
-    /// Its index among the observed attempts.
+    /// Index into [`observations::Observations::attempts`].
     attempt: usize,
     ends: Instant,
     polled_at: Instant,
     rows: Bytes,
+    /// Whether a poll has returned the rows.
     ended: bool,
 }
 
@@ -55,6 +58,7 @@
 #[derive(Default)]
 struct EngineState {
     generation: u32,
+    /// Accepted queries by their id in `x-trace`.
     queries: HashMap<String, Running>,
 }
 
@@ -64,21 +68,22 @@
     }
 }
 
-/// All stub engines.
+/// The stub engines of a run.
 pub struct Engines {
     engines: Vec<Engine>,
     recorder: Recorder,
-    /// Connections that are open, by gateway.
+    /// Number of open connections, by gateway.
     connections: Vec<AtomicUsize>,
-    /// Connections made since the start, by gateway.
+    /// Number of connections accepted since the start, by gateway.
     connections_made: Vec<AtomicUsize>,
-    /// Injected fault.
+    /// Set if most engines decline attempts, an injected fault.
     uneven: Option<UnevenEngines>,
+    /// Port at which each gateway reaches the engines.
     pub ports: Vec<u16>,
 }
 
 impl Engines {
-    /// Starts engines for so many gateways. `uneven` has most of them decline, an injected fault.
+    /// Starts the engines and one listener per gateway. `uneven` injects a fault: most engines decline attempts.
     pub async fn start(
         engines: usize,
         gateways: usize,
@@ -110,17 +115,17 @@
         Ok(engines)
     }
 
-    /// Connections to engines that a gateway has open.
+    /// Number of connections to engines that a gateway has open.
     pub fn connections(&self, gateway: usize) -> usize {
         self.connections[gateway].load(Ordering::Relaxed)
     }
 
-    /// Connections to engines that a gateway has made since the start.
+    /// Number of connections to engines that a gateway has opened since the start.
     pub fn connections_made(&self, gateway: usize) -> usize {
         self.connections_made[gateway].load(Ordering::Relaxed)
     }
 
-    /// The process at this address ends, with all that it runs; the next one there has a new generation.
+    /// Ends the engine process at this slot and all queries that it runs. The next engine there has a new generation.
     pub fn kill(&self, slot: usize) {
         let engine = &self.engines[slot];
         engine.health.send_replace(Health::Down);
@@ -150,14 +155,14 @@
             match listener.accept().await {
                 Ok((stream, _)) => drop(tokio::spawn(self.clone().serve(stream, gateway))),
                 Err(error) => {
-                    tracing::warn!(%error, "engines can't accept");
+                    tracing::warn!(%error, "stub engines can't accept a connection; retrying");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// One connection, for as long as its engine lives.
+    /// Serves one connection until it ends or its engine's process does.
     async fn serve(self: Arc<Self>, stream: TcpStream, gateway: usize) {
         let _ = stream.set_nodelay(true);
         let slot = stream
@@ -232,6 +237,7 @@
         response
     }
 
+    /// Starts an attempt, and answers as to its first poll; declines the attempt where the injected fault says so.
     async fn begin(
         &self,
         slot: usize,
@@ -301,7 +307,8 @@
         state.queries.insert(id.to_string(), running);
     }
 
-    /// The end of a query, or that there is none yet.
+    /// Waits for the end of a query, at most [`LONG_POLL_TIMEOUT`]. Answers with the rows, or with 202 if the query
+    /// still runs.
     async fn poll(&self, slot: usize, id: &str) -> Response<Full<Bytes>> {
         let until = Instant::now() + LONG_POLL_TIMEOUT;
         let Some(ends) = self.record_poll(slot, id) else {
@@ -311,7 +318,8 @@
         self.poll_answer(slot, id)
     }
 
-    /// Records a poll; returns when the query ends, or `None` if it was abandoned before.
+    /// Records a poll. Returns the time at which the query ends, or `None` if the query is unknown or was abandoned
+    /// before.
     fn record_poll(&self, slot: usize, id: &str) -> Option<Instant> {
         let mut state = self.engines[slot].state();
         let running = state.queries.get_mut(id)?;
@@ -365,6 +373,7 @@
     response
 }
 
+/// Reads the work from a statement; `None` if the statement has no such comment.
 fn work_of(statement: &[u8]) -> Option<Duration> {
     let text = std::str::from_utf8(statement).ok()?;
     let (_, rest) = text.split_once(WORK_PREFIX)?;
--- a/crates/scale/src/real_processes/engines/health.rs
+++ b/crates/scale/src/real_processes/engines/health.rs
@@ -1,19 +1,19 @@
-//! Whether an engine's process and machine run, and connections that end or stall with them.
+//! Health of a stub engine, and its effect on the engine's connections.
 
 use std::future::Future;
 use tokio::sync::watch;
 
-/// Whether an engine's process and machine run.
+/// State of an engine's process and machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     Up,
-    /// The process has ended: connections end.
+    /// The process has ended; its connections are closed.
     Down,
-    /// The machine is cut off: nothing is answered.
+    /// The machine is unreachable; its connections stay open but nothing is answered.
     Silent,
 }
 
-/// Drives a connection until it ends or its engine's process does; it rests while the engine is silent.
+/// Drives a connection until it ends or the engine is [`Health::Down`]; pauses while the engine is [`Health::Silent`].
 pub async fn drive_while_up(connection: impl Future, mut health: watch::Receiver<Health>) {
     let mut connection = std::pin::pin!(connection);
     loop {
--- a/crates/scale/src/real_processes/experiment.rs
+++ b/crates/scale/src/real_processes/experiment.rs
@@ -1,52 +1,52 @@
-//! The file of an experiment with real processes: what is started, the events, and the bounds.
+//! Experiment files of the subcommand `beside`: the processes to start, the events, and the bounds on measured values.
 
 use crate::experiment::{self, check_range, ExperimentError, InvalidValue};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
-/// More than one machine can run well.
+/// Limit on gateway processes; more do not run well on one machine.
 const MAX_GATEWAYS: usize = 200;
-/// One loopback address an engine.
+/// Limit on engines, each of which has its own loopback address.
 const MAX_ENGINES: usize = 20_000;
 const MAX_WATCHERS: usize = 8_000;
 const MAX_SECONDS: f64 = 600.0;
-/// Every query is held in memory for the judge.
+/// Limit on queries, all of which are held in memory for the judge.
 const MAX_QUERIES: f64 = 1e6;
 const MAX_CLIENT_CONNECTIONS: usize = 8_000;
 
-/// All parameters of a run.
+/// Parameters of a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     pub seed: u64,
     pub gateways: usize,
-    /// The number of gateways in each gateway's settings; by default as many as run.
+    /// Number of gateways that each gateway's settings state; by default the number that run.
     #[serde(rename = "gateways_told")]
     pub assumed_gateways: Option<usize>,
     pub engines: usize,
     #[serde(default = "default_zones")]
     pub zones: usize,
-    /// Watchers of the change log that only record what they receive.
+    /// Number of watchers, which read the change log and record when they receive each event.
     pub watchers: usize,
-    /// How long queries are sent.
+    /// Time in which queries are sent. With 0 only the sweeps run.
     pub seconds: f64,
-    /// Queries without a key, of all gateways together.
+    /// Rate of queries without a key, over all gateways.
     pub queries_per_second: f64,
-    /// Keys whose queries run one at a time.
+    /// Number of ordering keys; the queries of one key run one at a time.
     #[serde(default)]
     pub keys: usize,
-    /// Least and most work of a query, in milliseconds.
+    /// Minimum and maximum work of a query without a key, in milliseconds.
     #[serde(default = "default_work")]
     pub work_ms: [u64; 2],
     #[serde(default = "default_sockets")]
     pub gateway_sockets: usize,
     #[serde(default = "default_memory")]
     pub gateway_memory_mb: usize,
-    /// The size in the gateways' `subset` block; without it they work with the whole list.
+    /// Size in the gateways' `subset` block. Without a size, each gateway uses the whole list.
     pub subset_size: Option<usize>,
-    /// The program to run; by default the one beside this program.
+    /// Path of the gateway's program; by default the program `garnetwall` beside this one.
     pub gateway_binary: Option<PathBuf>,
-    /// An injected fault, which the judge has to find.
+    /// Fault to inject, which the judge has to find.
     #[serde(rename = "slip")]
     pub injected_fault: Option<InjectedFault>,
     #[serde(default)]
@@ -73,7 +73,7 @@
     192
 }
 
-/// Something that happens at a time, in seconds after queries begin.
+/// An action and its time, in seconds after queries begin.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Event {
     #[serde(rename = "at")]
@@ -82,109 +82,109 @@
     pub action: Action,
 }
 
-/// What an event does.
+/// Action of an event.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Action {
-    /// Engines end; the log reports it `told_after` seconds later.
+    /// Kills engines; the change log reports them as deleted `told_after` seconds later.
     EnginesKilled {
         count: usize,
         #[serde(rename = "told_after")]
         report_delay: f64,
     },
-    /// The log reports engines as draining, and as deleted `gone_after` seconds later.
+    /// The change log reports engines as draining; `gone_after` seconds later they end and are reported as deleted.
     EnginesDrained {
         count: usize,
         #[serde(rename = "gone_after")]
         removal_delay: f64,
     },
-    /// Engines end, and others take their addresses at once.
+    /// Kills engines and starts others at their addresses at once.
     EnginesReplaced { count: usize },
-    /// Engines end and are started again, cold, after `down` seconds.
+    /// Kills engines and starts others at their addresses, cold, after `down` seconds.
     EnginesRestarted { count: usize, down: f64 },
-    /// A zone stops answering; the log reports it `told_after` seconds later.
+    /// A zone stops answering; the change log reports its engines as deleted `told_after` seconds later.
     ZoneLost {
         zone: usize,
         #[serde(rename = "told_after")]
         report_delay: f64,
     },
-    /// A lost zone serves again.
+    /// Starts new engines in a lost zone.
     ZoneBack { zone: usize },
-    /// Changes of single entries, spread over some seconds.
+    /// Publishes `count` changes of single entries, spread evenly over `over` seconds.
     ChangesBurst {
         count: usize,
         #[serde(rename = "over")]
         spread_over: f64,
     },
-    /// SIGHUP.
+    /// Sends SIGHUP to a gateway.
     GatewayReloaded { gateway: usize },
-    /// SIGTERM, and a new start once the process has ended.
+    /// Sends SIGTERM to a gateway and starts it again once its process has ended.
     GatewayTerminated { gateway: usize },
-    /// SIGKILL, and a new start at once.
+    /// Sends SIGKILL to a gateway and starts it again at once.
     GatewayKilled { gateway: usize },
 }
 
-/// Bounds that the judge holds measures to; without a bound a value is only measured.
+/// Bounds that the judge checks. A value without a bound is only measured.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
-    /// Attempts at the busiest engine over the mean.
+    /// Maximum ratio of the attempts at the busiest engine to the mean over all engines.
     pub spread_max_over_mean: Option<f64>,
-    /// Engines that one gateway opens connections to, at most.
+    /// Maximum number of engines to which one gateway opens connections.
     pub engines_a_gateway: Option<usize>,
-    /// Gateways that open connections to one engine, at most.
+    /// Maximum number of gateways that open connections to one engine.
     pub gateways_an_engine: Option<usize>,
-    /// Until 99 in 100 watchers have seen a change, at most.
+    /// Maximum time until 99 in 100 watchers have received a change.
     pub change_seen_ms: Option<f64>,
-    /// From a gateway's start until it serves, at most.
+    /// Maximum time from a gateway's start until it serves.
     pub ready_ms: Option<f64>,
-    /// Part of all queries that must succeed.
+    /// Minimum share of all queries that succeed, from 0 to 1.
     pub succeeded_share: Option<f64>,
 }
 
-/// Quantities that are swept after the run, one step after the other.
+/// Quantities that are swept after the run, one step at a time.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweeps {
-    /// Idle client connections on one gateway of its own.
+    /// Numbers of idle client connections, each measured on a separate gateway.
     #[serde(default)]
     pub client_connections: Vec<usize>,
-    /// Watchers on a change log of their own.
+    /// Numbers of watchers, each measured on a separate change log.
     #[serde(default)]
     pub log_watchers: Vec<usize>,
 }
 
-/// Faults that the stand-ins inject, one for each thing that is judged.
+/// Faults that the simulated clients, engines and change log inject, one for each property that the judge checks.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedFault {
-    /// Clients send gateways a longer limit than their own.
+    /// Clients send a longer limit than the one that they are judged by.
     LateAnswer,
-    /// Clients drop an answer.
+    /// Clients record a received answer as lost.
     LostAnswer,
-    /// Clients change a row of an answer.
+    /// Clients alter a row of an answer.
     AlteredAnswer,
-    /// An engine gets an attempt from nowhere after its query was answered.
+    /// An engine receives an attempt that no gateway sent, after the query was answered.
     AttemptAfterAnswer,
-    /// An engine gets a second attempt of a query that must not run twice.
+    /// An engine receives a second attempt of a query that must not run twice.
     EffectTwice,
-    /// The log withholds from a gateway that an engine drains.
+    /// The change log does not tell one gateway that engines drain.
     DrainWithheld,
-    /// Clients do not send the key.
+    /// Clients do not send the ordering key.
     KeyWithheld,
     /// A few engines accept the attempts of one gateway; all other attempts are declined.
     UnevenEngines,
-    /// The log publishes changes late.
+    /// The change log delays events.
     SlowLog,
-    /// A gateway that is terminated is killed instead.
+    /// A gateway that should be terminated is killed instead.
     KilledDrain,
 }
 
 impl Experiment {
-    /// Reads and checks a file.
+    /// Reads an experiment file and checks its values.
     ///
     /// # Errors
-    /// Where it can't be read, is no such experiment, or has a value that can't be used.
+    /// The file can't be read, is not an experiment of this kind, or has a value out of range.
     pub fn read(file: &Path) -> Result<Experiment, ExperimentError> {
         experiment::read(file, Experiment::check)
     }
@@ -228,7 +228,7 @@
     }
 }
 
-/// The number that an action names, under `key`, and the most that it may be.
+/// A number of an action, its key in the file, and its maximum.
 struct BoundedNumber {
     key: &'static str,
     value: usize,
@@ -256,6 +256,7 @@
     }
 }
 
+/// Checks that the value `found` at `place` in the file lies between `least` and `most`, both included.
 fn within(place: &str, found: f64, least: f64, most: f64) -> Result<(), InvalidValue> {
-    check_range(place, found, least, most, "write a number from that range")
+    check_range(place, found, least, most, "use a number in this range")
 }
--- a/crates/scale/src/real_processes/figure.rs
+++ b/crates/scale/src/real_processes/figure.rs
@@ -1,14 +1,14 @@
-//! One figure of a run, as it is printed and written.
+//! A measured or derived value of a run, as it is printed and written to the results file.
 
 use serde::Serialize;
 
-/// One figure.
+/// A measured or derived value.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figure {
-    /// What it belongs to: `run`, `gateway`, or the quantity that was swept.
+    /// Subject of the figure: `run`, `gateway`, or the name of the swept quantity.
     #[serde(rename = "of")]
     pub subject: String,
-    /// The gateway's number, or the swept quantity's value.
+    /// Number of the gateway, or value of the swept quantity; 0 for `run`.
     #[serde(rename = "at")]
     pub position: f64,
     pub name: String,
--- a/crates/scale/src/real_processes/findings.rs
+++ b/crates/scale/src/real_processes/findings.rs
@@ -1,15 +1,15 @@
-//! What a run found: its figures, and what was judged.
+//! Result of a run: its figures and judgements.
 
 use super::figure::Figure;
 use super::judge::Judgement;
 use std::error::Error;
 
-/// What a run found.
+/// Figures and judgements of a run.
 #[derive(Default)]
 pub struct Findings {
     pub figures: Vec<Figure>,
     pub judgements: Vec<Judgement>,
 }
 
-/// The findings, or why there are none.
+/// Findings of a run, or the error that prevented it.
 pub type RunResult = Result<Findings, Box<dyn Error>>;
--- a/crates/scale/src/real_processes/gateways.rs
+++ b/crates/scale/src/real_processes/gateways.rs
@@ -1,4 +1,5 @@
-//! Real gateways: `garnetwall serve` processes on loopback, each with a configuration and addresses of its own.
+//! Starts, signals and ends real gateways: `garnetwall serve` processes on loopback, each with its own configuration
+//! and address.
 
 use super::change_log::{address_for_gateway, ChangeLog};
 use super::experiment::Experiment;
@@ -17,44 +18,47 @@
 use tokio::sync::Mutex;
 use tokio::time::{sleep, timeout};
 
-/// Limits of queries, in milliseconds.
+/// Limit that clients send with each query, in milliseconds.
 pub const LIMIT_MS: u64 = 3_000;
-/// Outside the ports that the machine hands out; addresses differ by run and gateway.
+/// First port that gateways listen on. It lies outside the range of ephemeral ports. The address differs by run and by
+/// gateway.
 const PORT: u16 = 4_300;
-/// A gateway that does not serve by then has failed.
+/// Time within which a started gateway has to report itself healthy.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Protocol: after SIGTERM clients still send queries for this time.
+/// Time after SIGTERM in which clients still send queries to the gateway, from the protocol.
 const ARRIVALS_AFTER_TERM: Duration = Duration::from_millis(300);
-/// Protocol: no kill before the longest limit and 0.7 s have passed.
+/// Time after SIGTERM before a gateway is killed. The protocol grants a gateway the longest limit of a query and 0.7 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(LIMIT_MS + 700);
+/// Time to wait for a process to end after SIGKILL.
 const KILL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Cores of a stub engine.
 const CORES: u32 = 8;
 
-/// Why gateways could not be run: where, why, and what to do.
+/// Failure to start, signal or end a gateway.
 #[derive(Debug, Error)]
 pub enum GatewayError {
-    #[error("{}: {cause}; build it with `cargo build --release -p garnetwall-gateway`, or name it with --gateway-binary", binary.display())]
+    #[error("can't start gateway program {}: {cause}; build it with `cargo build --release -p garnetwall-gateway`, or name it with --gateway-binary", binary.display())]
     NoBinary {
         binary: PathBuf,
         cause: std::io::Error,
     },
-    #[error("{}: {cause}; make room there", file.display())]
+    #[error("can't write {}: {cause}; make space there", file.display())]
     Unwritable {
         file: PathBuf,
         cause: std::io::Error,
     },
-    #[error("gateway {gateway} did not serve within {} s; its log is {}", READY_TIMEOUT.as_secs(), log.display())]
+    #[error("gateway {gateway} did not serve within {} s; see its log {}", READY_TIMEOUT.as_secs(), log.display())]
     NeverReady { gateway: usize, log: PathBuf },
-    #[error("gateway {gateway} ended before it served ({status}); its log is {}", log.display())]
+    #[error("gateway {gateway} ended before it served ({status}); see its log {}", log.display())]
     Ended {
         gateway: usize,
         status: ExitStatus,
         log: PathBuf,
     },
-    #[error("gateway {gateway}: not started, as the run ends")]
+    #[error("gateway {gateway} was not started because the run is ending")]
     Stopping { gateway: usize },
-    #[error("gateway {gateway}: {cause}; see its log {}", log.display())]
+    #[error("can't signal gateway {gateway}: {cause}; see its log {}", log.display())]
     Process {
         gateway: usize,
         cause: std::io::Error,
@@ -67,7 +71,7 @@
     move |cause| GatewayError::Unwritable { file, cause }
 }
 
-/// Where a gateway of this run listens.
+/// Returns the address on which a gateway of this run listens. The process id makes it differ from other runs'.
 fn listen_address(gateway: usize) -> SocketAddr {
     let run = std::process::id();
     let parts = [
@@ -81,14 +85,16 @@
 
 struct Gateway {
     address: SocketAddr,
-    /// Whether clients send queries to it.
+    /// Whether clients send queries to this gateway.
     in_service: AtomicBool,
+    /// The running process, if any.
     child: Mutex<Option<Child>>,
-    /// Processor time of its processes that have ended is not known; that of the current one counts from here.
+    /// Usage at the last reset, from which processor time is counted. It belongs to the current process; the processor
+    /// time of earlier processes of this gateway is not known.
     first: std::sync::Mutex<Usage>,
 }
 
-/// All real gateways of a run. Their processes are killed when this is dropped.
+/// All real gateways of a run. Dropping this kills their processes.
 pub struct Gateways {
     gateways: Vec<Gateway>,
     binary: PathBuf,
@@ -98,9 +104,9 @@
     sockets: usize,
     memory_mb: usize,
     subset_size: Option<usize>,
-    /// Injected fault: SIGKILL in place of SIGTERM.
+    /// Injected fault: `terminate` sends SIGKILL in place of SIGTERM.
     kill_on_terminate: bool,
-    /// The run is over: no process is started any more.
+    /// Set when the run ends; no process is started after that.
     stopping: AtomicBool,
 }
 
@@ -140,6 +146,7 @@
         self.gateways[gateway].address
     }
 
+    /// Whether clients may send queries to the gateway.
     pub fn in_service(&self, gateway: usize) -> bool {
         self.gateways[gateway].in_service.load(Ordering::Relaxed)
     }
@@ -152,6 +159,7 @@
         self.folder.join(format!("gateway-{gateway}.log"))
     }
 
+    /// Renders the gateway's configuration file.
     fn config(&self, gateway: usize, log: &ChangeLog) -> Value {
         let mut config = json!({"name": format!("g{gateway}"), "listen": self.address(gateway).to_string(),
             "seed": format!("{:016x}", 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(gateway as u64 + 1)),
@@ -164,10 +172,11 @@
         config
     }
 
-    /// Starts a process and waits until it serves.
+    /// Starts the gateway's process and waits until it reports itself healthy.
     ///
     /// # Errors
-    /// Its files cannot be written, its program cannot be started, or it does not serve in time.
+    /// The gateway's files can't be written, its program can't be started, the run is ending, or the process ends or
+    /// does not serve within [`READY_TIMEOUT`].
     pub async fn start(&self, gateway: usize, log: &ChangeLog) -> Result<(), GatewayError> {
         let file = self.config_file(gateway);
         let log_file = self.log_file(gateway);
@@ -216,6 +225,7 @@
             })
     }
 
+    /// Waits until the gateway reports itself healthy.
     async fn healthy(&self, gateway: usize) -> Result<(), GatewayError> {
         while !http_client::is_healthy(self.address(gateway)).await {
             let mut child = self.gateways[gateway].child.lock().await;
@@ -232,6 +242,7 @@
         Ok(())
     }
 
+    /// Returns the id of the running process.
     async fn process(&self, gateway: usize) -> Option<u32> {
         self.gateways[gateway]
             .child
@@ -241,12 +252,12 @@
             .and_then(Child::id)
     }
 
-    /// What a gateway's process uses now.
+    /// Returns the current resource usage of the gateway's process; `None` if none runs.
     pub async fn usage(&self, gateway: usize) -> Option<Usage> {
         Usage::of(self.process(gateway).await?)
     }
 
-    /// Counts processor time from now on.
+    /// Restarts the count of the gateway's processor time.
     pub async fn reset_processor_time(&self, gateway: usize) {
         let usage = self.usage(gateway).await.unwrap_or_default();
         *self.gateways[gateway]
@@ -265,6 +276,7 @@
         Some(now.processor_seconds - first.processor_seconds)
     }
 
+    /// Sends a signal to the gateway's process; does nothing if none runs.
     async fn signal(&self, gateway: usize, kind: Signal) -> Result<(), GatewayError> {
         let Some(process) = self.process(gateway).await else {
             return Ok(());
@@ -277,12 +289,12 @@
         })
     }
 
-    /// SIGHUP.
+    /// Sends SIGHUP.
     pub async fn reload(&self, gateway: usize) -> Result<(), GatewayError> {
         self.signal(gateway, Signal::HUP).await
     }
 
-    /// SIGTERM; whether it ended by itself with exit code 0 is recorded.
+    /// Sends SIGTERM, waits for the process to end, and records whether it ended by itself with exit code 0.
     pub async fn terminate(&self, gateway: usize) -> Result<(), GatewayError> {
         let from = self.recorder.now();
         let kind = if self.kill_on_terminate {
@@ -307,7 +319,7 @@
         Ok(())
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL and waits for the process to end.
     pub async fn kill(&self, gateway: usize) -> Result<(), GatewayError> {
         let outage = Outage {
             gateway,
@@ -324,7 +336,7 @@
         Ok(())
     }
 
-    /// Waits for the process to end; whether it did so in time and with exit code 0. One that does not is killed.
+    /// Waits for the process to end and kills it after `within`. Returns whether it ended in time with exit code 0.
     async fn wait_for_end(&self, gateway: usize, within: Duration) -> bool {
         let mut child = self.gateways[gateway].child.lock().await;
         let Some(mut child) = child.take() else {
@@ -339,7 +351,7 @@
         }
     }
 
-    /// Ends all processes, and waits for them.
+    /// Kills all processes, waits for their end, and prevents further starts.
     pub async fn stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
         for (gateway, one) in self.gateways.iter().enumerate() {
@@ -352,7 +364,7 @@
     }
 }
 
-/// The settings in every gateway's configuration.
+/// Settings that are part of every gateway's configuration.
 pub fn settings(experiment: &Experiment) -> Value {
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "semantics": semantics, "give-up": LIMIT_MS, "goal-time": LIMIT_MS / 2,
--- a/crates/scale/src/real_processes/hollow_gateway.rs
+++ b/crates/scale/src/real_processes/hollow_gateway.rs
@@ -1,4 +1,4 @@
-//! One hollow gateway: the decision module alone, at the rate and with the list of a real one.
+//! Measures a hollow gateway: the decision module alone, with the query rate and the endpoint list of a real gateway.
 
 use garnetwall::api::{
     AttemptEnd, AttemptOutcome, Endpoint, EndpointState, FollowUp, ListScope, LoadReport,
@@ -11,27 +11,29 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Length of the simulation.
+/// Length of the simulation, in simulated seconds.
 pub const SIMULATED_SECONDS: f64 = 5.0;
-/// Simulation gateways in memory at once: whole and free pages blur the memory of a single one.
+/// Number of copies in memory when memory is measured. The result is their mean, since the resident memory of a single
+/// copy is blurred by the granularity of pages and by pages that were already free.
 const GATEWAY_COPIES: usize = 32;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// The class of queries without a key.
+/// Query class of queries without a key.
 const CLASS: usize = 0;
 const QUERY_LIMIT_SECONDS: f64 = 3.0;
-/// Decisions at one moment after which the module counts as caught in an endless loop.
+/// Limit on the decisions at one simulated moment; beyond it the module counts as caught in an endless loop.
 const MAX_DECISIONS_PER_MOMENT: usize = 100_000;
 
-/// What the module alone costs.
+/// Cost of the decision module alone.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
-    /// Of a core, without I/O.
+    /// Processor time per simulated second, as a share of one core, without I/O.
     pub processor_share: f64,
-    /// The module with its list, and the whole list beside a subset; 0 where it fits into free pages.
+    /// Memory of the module with its endpoint list and, beside a subset, of the whole list. 0 if it fits into pages
+    /// that were already free.
     pub resident_bytes: f64,
 }
 
-/// Queries that a hollow gateway gets.
+/// Load of a hollow gateway.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub queries_per_second: f64,
@@ -39,10 +41,10 @@
     pub seed: u64,
 }
 
-/// What a gateway keeps in memory for its decisions.
+/// State that a gateway keeps in memory for its decisions.
 struct GatewayMemory {
     module: AdmissionController,
-    /// The whole list, beside a subset of it.
+    /// The whole list, if the module works with a subset of it.
     _catalog: Option<Catalog>,
 }
 
@@ -64,11 +66,11 @@
     }
 }
 
-/// Simulates one gateway's queries before these engines, and measures its memory and processor time. Where they are a
-/// subset it holds the whole list as well.
+/// Simulates the queries of one gateway that uses `endpoints`, and measures its memory and processor time. `whole_list`
+/// is set if the endpoints are a subset; the gateway then holds the whole list as well.
 ///
 /// # Errors
-/// Where the system does not report them.
+/// The memory or processor time can't be read from /proc.
 pub fn measure_cost(
     settings: &Settings,
     endpoints: &[Endpoint],
@@ -100,7 +102,8 @@
     })
 }
 
-/// Endpoints of so many engines, all ready.
+/// Creates `engines` ready endpoints spread over `zones`. `holders` is the number of gateways that hold each engine, if
+/// the list is a subset.
 pub fn endpoints(engines: usize, zones: usize, holders: Option<f64>) -> Vec<Endpoint> {
     let endpoint = |engine: usize| Endpoint {
         engine,
@@ -114,7 +117,7 @@
     (0..engines).map(endpoint).collect()
 }
 
-/// When an attempt ends; the earliest is the smallest.
+/// The end of an attempt. Ordered by time, the earliest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEnd {
     at_microseconds: u64,
@@ -128,10 +131,11 @@
     }
 }
 
-/// The queries of one gateway, in simulated time.
+/// Simulation of one gateway's queries.
 struct Simulation {
     module: AdmissionController,
     load: Load,
+    /// Simulated seconds since the start.
     now: f64,
     ends: BinaryHeap<Reverse<ScheduledEnd>>,
 }
@@ -182,7 +186,7 @@
         self.module.admit(self.now, query);
     }
 
-    /// Carries out all decisions that are due; returns the seconds until the next.
+    /// Carries out all decisions that are due. Returns the seconds until the next one.
     fn decide(&mut self) -> f64 {
         for _ in 0..MAX_DECISIONS_PER_MOMENT {
             match self.module.next_action(self.now) {
@@ -226,7 +230,7 @@
             work,
             memory: None,
         };
-        // A query ends with its first success, so there is no follow-up.
+        // A query ends with its first success, so no follow-up is needed.
         let (FollowUp::Nothing | FollowUp::Answer(_)) =
             self.module.attempt_ended(self.now, id, outcome);
     }
@@ -236,10 +240,10 @@
     let usage = super::process::Usage::of(std::process::id());
     usage
         .map(|usage| usage.resident_bytes as f64)
-        .ok_or_else(|| std::io::Error::other("/proc can't be read"))
+        .ok_or_else(|| std::io::Error::other("can't read this process's memory use from /proc"))
 }
 
-/// Processor time of this thread.
+/// Returns the processor time of the current thread, in seconds.
 fn thread_seconds() -> std::io::Result<f64> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat")?;
     let nanoseconds = text
@@ -248,5 +252,5 @@
         .and_then(|word| word.parse::<f64>().ok());
     nanoseconds
         .map(|n| n / 1e9)
-        .ok_or_else(|| std::io::Error::other("schedstat can't be read"))
+        .ok_or_else(|| std::io::Error::other("can't parse /proc/thread-self/schedstat"))
 }
--- a/crates/scale/src/real_processes/http_client.rs
+++ b/crates/scale/src/real_processes/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls on connections of one's own, each bounded in time.
+//! HTTP client with explicit connections and a timeout for each call.
 
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
@@ -15,50 +15,50 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
-/// More than any answer of this run.
+/// Limit on an answer's size; larger than any answer in a run.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// An HTTP/1 connection that requests are sent on.
+/// Sending half of an HTTP/1 connection.
 pub type Connection = SendRequest<Full<Bytes>>;
 
-/// Why there is no connection.
+/// Failure to set up a connection.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// Not within [`CONNECT_TIMEOUT`].
-    #[error("not connected: no answer")]
+    /// The TCP connection was not set up within [`CONNECT_TIMEOUT`].
+    #[error("connecting timed out")]
     TimedOut,
-    #[error("not connected: {0}")]
+    #[error("connecting failed: {0}")]
     Connect(#[from] io::Error),
-    /// No HTTP connection could be set up on it.
-    #[error("not connected: {0}")]
+    /// The TCP connection was set up, but not the HTTP connection on it.
+    #[error("HTTP handshake failed: {0}")]
     Handshake(#[from] hyper::Error),
 }
 
-/// Where an exchange broke off.
+/// Part of an exchange that failed.
 #[derive(Debug, Error)]
 pub enum CutShort {
-    /// Before the head of the answer was whole.
+    /// The exchange failed before the head of the answer was complete.
     #[error(transparent)]
     Head(#[from] hyper::Error),
-    /// In the answer's body, or it was longer than [`MAX_ANSWER_BYTES`].
+    /// The exchange failed in the body of the answer, or the body is longer than [`MAX_ANSWER_BYTES`].
     #[error(transparent)]
     Body(#[from] Box<dyn StdError + Send + Sync>),
 }
 
-/// Why a call on an open connection brought no whole answer.
+/// Failure of a call on an open connection.
 #[derive(Debug, Error)]
 pub enum CallError {
-    #[error("no whole answer: {0}")]
+    #[error("answer incomplete: {0}")]
     CutShort(#[from] CutShort),
-    #[error("no answer in time")]
+    #[error("no complete answer in time")]
     TimedOut,
 }
 
-/// Connects, and drives the connection in a task of its own.
+/// Connects to `address`. A spawned task drives the connection.
 ///
 /// # Errors
 ///
-/// The connection cannot be set up in time.
+/// The connection can't be set up, or not within [`CONNECT_TIMEOUT`].
 pub async fn connect(address: SocketAddr) -> Result<Connection, ConnectError> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = stream.map_err(|_| ConnectError::TimedOut)??;
@@ -66,13 +66,17 @@
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(async move {
         if let Err(cause) = connection.await {
-            tracing::debug!(%cause, "client connection ended");
+            tracing::debug!(%cause, "client connection failed");
         }
     });
     Ok(sender)
 }
 
-/// One call, with its whole answer.
+/// Sends a request and returns the complete answer.
+///
+/// # Errors
+///
+/// The exchange fails, or is not complete after `within`.
 pub async fn call(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
@@ -93,7 +97,7 @@
         .unwrap_or(Err(CallError::TimedOut))
 }
 
-/// A call without a body; its fields never fail to build.
+/// Builds a GET request without a body.
 pub fn get(path: &'static str) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::default());
     *request.uri_mut() = http::Uri::from_static(path);
@@ -104,7 +108,7 @@
     request
 }
 
-/// Whether a gateway says that it serves.
+/// Whether the gateway at `address` answers its health check with 200.
 pub async fn is_healthy(address: SocketAddr) -> bool {
     let Ok(mut connection) = connect(address).await else {
         return false;
--- a/crates/scale/src/real_processes/judge.rs
+++ b/crates/scale/src/real_processes/judge.rs
@@ -1,4 +1,5 @@
-//! The judge: checks external observations against the rules, without knowledge of how gateways decide.
+//! Judges a run: checks the external observations against the protocol's rules and the experiment's bounds, without
+//! knowledge of how gateways decide.
 
 use super::endpoint_list::EngineId;
 use super::experiment::Expect;
@@ -6,18 +7,18 @@
 use super::run_statistics::RunStatistics;
 use std::collections::{BTreeMap, HashMap};
 
-/// Connections may add this to a query's limit.
+/// Time that connections may add to a query's limit.
 const SOCKET_ALLOWANCE_SECONDS: f64 = 0.05;
-/// An attempt received this long after the answer may have been sent before it.
+/// An attempt received within this time after the answer may have been sent before the answer.
 const IN_TRANSIT_ALLOWANCE_SECONDS: f64 = 0.05;
-/// From an event's publication until gateways count as notified, delivered or not.
+/// Time from an event's publication until gateways count as notified, even if the event was not delivered.
 const NOTIFICATION_LIMIT_SECONDS: f64 = 7.0;
-/// From an event's delivery until the gateway counts as notified.
+/// Time from an event's delivery until the gateway counts as notified.
 const NOTIFICATION_AFTER_WRITE_SECONDS: f64 = 1.0;
-/// Violations that are listed in a judgement.
+/// Maximum number of violations that a judgement lists.
 const MAX_VIOLATIONS_SHOWN: usize = 3;
 
-/// One thing that was judged.
+/// Result of checking one rule or bound.
 #[derive(Clone, Debug)]
 pub struct Judgement {
     pub what: &'static str,
@@ -25,7 +26,7 @@
     pub detail: String,
 }
 
-/// Judges everything.
+/// Checks all rules, and the bounds that `expect` sets.
 pub fn judge(observations: &Observations, expect: &Expect) -> Vec<Judgement> {
     let index = Index::new(observations);
     let mut judgements = vec![
@@ -51,6 +52,7 @@
     judgements
 }
 
+/// Returns the judgement of a rule, which passes if there are no violations.
 fn rule(what: &'static str, violations: Vec<String>) -> Judgement {
     let shown = violations
         .iter()
@@ -69,6 +71,7 @@
     }
 }
 
+/// Observations indexed by query. Each check returns one text per violation.
 struct Index<'a> {
     observations: &'a Observations,
     attempts: HashMap<u64, Vec<&'a Attempt>>,
@@ -108,31 +111,34 @@
             .any(|o| o.killed && o.gateway == query.gateway && cut(o.from))
     }
 
-    /// A run in which nothing succeeded shows nothing.
+    /// Finds a run without any successful query; such a run proves nothing.
     fn no_success(&self) -> Vec<String> {
         let succeeded = |query: &&Query| matches!(query.outcome, Outcome::Succeeded { .. });
         match self.observations.queries.iter().find(succeeded) {
             Some(_) => Vec::new(),
             None => vec![format!(
-                "of {} queries none succeeded",
+                "none of {} queries succeeded",
                 self.observations.queries.len()
             )],
         }
     }
 
+    /// Finds lost, malformed and late answers. An answer may be lost where the gateway was killed.
     fn late_or_broken_answers(&self) -> Vec<String> {
         let fault = |query: &&Query| {
             let took = query.answered_at - query.started_at;
             match &query.outcome {
                 Outcome::Lost(why) if !self.was_killed(query) => {
-                    Some(format!("{:016x} lost: {why}", query.id))
+                    Some(format!("{:016x} was lost: {why}", query.id))
+                }
+                Outcome::Malformed(why) => {
+                    Some(format!("{:016x} had a malformed answer: {why}", query.id))
                 }
-                Outcome::Malformed(why) => Some(format!("{:016x} garbled: {why}", query.id)),
                 Outcome::Succeeded { .. } | Outcome::Rejected | Outcome::Failed
                     if took > query.limit + SOCKET_ALLOWANCE_SECONDS =>
                 {
                     Some(format!(
-                        "{:016x} took {took:.3} s of {:.3} s",
+                        "{:016x} took {took:.3} s with a limit of {:.3} s",
                         query.id, query.limit
                     ))
                 }
@@ -146,12 +152,13 @@
             .collect()
     }
 
+    /// Finds answers whose rows no successful attempt at the named engine returned.
     fn foreign_rows(&self) -> Vec<String> {
         let fault = |query: &&Query| match &query.outcome {
             Outcome::Succeeded { engine } => {
                 let made = |a: &&Attempt| a.succeeded && a.engine.to_string() == *engine;
                 let found = self.attempts(query.id).iter().any(made);
-                (!found).then(|| format!("{:016x}: {engine} made no such rows", query.id))
+                (!found).then(|| format!("{:016x}: {engine} returned no such rows", query.id))
             }
             _ => None,
         };
@@ -162,6 +169,7 @@
             .collect()
     }
 
+    /// Finds queries of class load that ran more than once, or that ran although they were rejected.
     fn repeated_effects(&self) -> Vec<String> {
         let fault = |query: &&Query| {
             let ran = self
@@ -172,7 +180,7 @@
             match (query.class, &query.outcome) {
                 (QueryClass::Report, _) => None,
                 (QueryClass::Load, Outcome::Rejected) if ran > 0 => {
-                    Some(format!("{:016x} was rejected and may have run", query.id))
+                    Some(format!("{:016x} was rejected but may have run", query.id))
                 }
                 (QueryClass::Load, _) if ran > 1 => {
                     Some(format!("{:016x} ran {ran} times", query.id))
@@ -187,7 +195,8 @@
             .collect()
     }
 
-    /// When each gateway counts as notified that an engine takes no new attempts, by the earliest notice.
+    /// Returns the time at which each gateway counts as notified that an engine takes no new attempts. The earliest
+    /// notice decides.
     fn notified_times(&self) -> HashMap<(EngineId, usize), f64> {
         let mut delivered: HashMap<(u64, usize), f64> = HashMap::new();
         for delivery in &self.observations.deliveries {
@@ -207,6 +216,7 @@
         notified_times
     }
 
+    /// Finds attempts at engines that the gateway had been notified are draining or deleted.
     fn attempts_at_drained_engines(&self) -> Vec<String> {
         let notified_times = self.notified_times();
         let fault = |attempt: &&Attempt| {
@@ -214,7 +224,7 @@
             let late = attempt.received_at - notified;
             let (gateway, engine) = (attempt.gateway, attempt.engine);
             (late > 0.0).then(|| {
-                format!("gateway {gateway} sent to {engine} {late:.3} s after it was told")
+                format!("gateway {gateway} sent an attempt to {engine} {late:.3} s after it was notified")
             })
         };
         self.observations
@@ -224,6 +234,7 @@
             .collect()
     }
 
+    /// Finds queries of one key that overlapped or ran in the wrong order, except those whose gateway was killed.
     fn order_violations(&self) -> Vec<String> {
         let mut by_key: BTreeMap<u64, Vec<&Query>> = BTreeMap::new();
         for query in &self.observations.queries {
@@ -249,7 +260,7 @@
             let ids = format!("{:016x} and {:016x}", earlier.id, later.id);
             if after.received_at < ended_at {
                 return Some(format!(
-                    "{ids} of one key ran {:.3} s together",
+                    "{ids} of one key overlapped by {:.3} s",
                     ended_at - after.received_at
                 ));
             }
@@ -259,14 +270,19 @@
         attempts.windows(2).filter_map(fault).collect()
     }
 
+    /// Finds attempts received after their query was answered.
     fn attempts_after_answer(&self) -> Vec<String> {
         let fault = |attempt: &&Attempt| {
             let query = self.queries.get(&attempt.query)?;
             let late = attempt.received_at - query.answered_at;
             let was_answered =
                 !matches!(query.outcome, Outcome::Lost(_) | Outcome::ConnectionRefused);
-            (was_answered && late > IN_TRANSIT_ALLOWANCE_SECONDS)
-                .then(|| format!("{:016x} sent {late:.3} s after its answer", query.id))
+            (was_answered && late > IN_TRANSIT_ALLOWANCE_SECONDS).then(|| {
+                format!(
+                    "attempt of {:016x} arrived {late:.3} s after the answer",
+                    query.id
+                )
+            })
         };
         self.observations
             .attempts
@@ -275,6 +291,7 @@
             .collect()
     }
 
+    /// Finds terminated gateways that did not end by themselves with exit code 0.
     fn unclean_ends(&self) -> Vec<String> {
         let unclean = self
             .observations
@@ -282,11 +299,12 @@
             .iter()
             .filter(|outage| !outage.killed && !outage.clean);
         unclean
-            .map(|outage| format!("gateway {} did not end with 0", outage.gateway))
+            .map(|outage| format!("gateway {} did not end with exit code 0", outage.gateway))
             .collect()
     }
 }
 
+/// Returns the time at which a gateway counts as notified, given the time of delivery to it, if any.
 fn notified_at(notice: &Notice, delivered: Option<f64>) -> f64 {
     let latest = notice.appended + NOTIFICATION_LIMIT_SECONDS;
     delivered.map_or(latest, |at| {
@@ -294,7 +312,7 @@
     })
 }
 
-/// What is measured, and held to a bound where one is expected.
+/// Checks the measured values for which `expect` sets a bound.
 fn bounds(observations: &Observations, expect: &Expect) -> Vec<Judgement> {
     let statistics = RunStatistics::new(observations);
     let count = |bound: Option<usize>| bound.map(|count| count as f64);
@@ -329,6 +347,7 @@
     judgements.into_iter().flatten().collect()
 }
 
+/// Returns the judgement of an upper bound; `None` without a bound.
 fn at_most(what: &'static str, found: f64, most: Option<f64>) -> Option<Judgement> {
     let most = most?;
     Some(Judgement {
--- a/crates/scale/src/real_processes/mod.rs
+++ b/crates/scale/src/real_processes/mod.rs
@@ -1,5 +1,5 @@
-//! The subcommand `beside`: real gateways on loopback, between stand-ins for change log, engines, clients and watchers, and a
-//! judge that reads only what these observed.
+//! The subcommand `beside`: runs real gateways on loopback with a simulated change log, engines, clients and watchers,
+//! and judges the run by the observations of these alone.
 
 mod change_log;
 mod clients;
@@ -39,20 +39,20 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::sleep;
 
-/// Threads of the stand-ins; the change log has its own.
+/// Threads for the simulated engines, clients and watchers; the change log has its own thread.
 const WORKER_THREADS: usize = 4;
-/// Added to the time in which queries are sent, for each part of a run.
+/// Time allowed for the run and for each step of a sweep, beyond the time in which queries are sent.
 const RUN_ALLOWANCE: Duration = Duration::from_secs(240);
-/// Why a run has no verdict.
+/// A run that ended without a verdict.
 #[derive(Debug, Error)]
 enum RealProcessesError {
-    #[error("stopped by a signal; all processes have ended")]
+    #[error("run stopped by a signal; all gateway processes have ended")]
     Stopped,
-    #[error("not over within {0:?}; all processes have ended; give it fewer gateways or a quieter machine")]
+    #[error("run did not finish within {0:?}; all gateway processes have ended; use fewer gateways or a less busy machine")]
     TooLong(Duration),
 }
 
-/// The command's own arguments.
+/// Arguments of the subcommand.
 #[derive(clap::Args)]
 pub struct RealProcessesArguments {
     #[command(flatten)]
@@ -62,7 +62,8 @@
     gateway_binary: Option<PathBuf>,
 }
 
-/// Runs one experiment.
+/// Runs one experiment, prints its figures and judgements, and writes the figures to the results file if one is named.
+/// Returns whether all judgements passed.
 pub fn run(arguments: &RealProcessesArguments) -> Verdict {
     let mut experiment = Experiment::read(&arguments.run.experiment)?;
     experiment.seed = arguments.run.seed.unwrap_or(experiment.seed);
@@ -80,7 +81,7 @@
         .enable_all()
         .build()?;
     let findings = runtime.block_on(run_until_stopped(experiment, binary, folder.path.clone()));
-    // Its message names a log in there.
+    // The messages of a gateway error name log files in the folder.
     folder.keep = findings
         .as_ref()
         .is_err_and(|error| error.is::<GatewayError>());
@@ -92,7 +93,8 @@
     Ok(report::print_judgements(&findings.judgements))
 }
 
-/// The run, unless it is stopped by a signal or takes too long. All processes have ended when this returns.
+/// Runs the experiment until it ends, a signal stops it, or it takes too long. All gateway processes have ended when
+/// this returns.
 async fn run_until_stopped(experiment: Experiment, binary: PathBuf, folder: PathBuf) -> RunResult {
     let mut interrupted = signal(SignalKind::interrupt())?;
     let mut terminated = signal(SignalKind::terminate())?;
@@ -109,7 +111,7 @@
     found
 }
 
-/// The workload, where the experiment has one, and then the sweeps.
+/// Runs the workload, unless the experiment's `seconds` are 0, and then the sweeps.
 async fn run_all(
     experiment: &Experiment,
     binary: &Path,
--- a/crates/scale/src/real_processes/observations.rs
+++ b/crates/scale/src/real_processes/observations.rs
@@ -1,23 +1,24 @@
-//! External observations as plain values: the judge reads nothing else. Times are seconds of one clock.
+//! External observations of a run as plain values, the only input of the judge. Times are seconds on the clock of the
+//! run's [`Recorder`].
 
 use super::endpoint_list::EngineId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// The class of a query: how often it may run.
+/// Query class, which determines how often a query may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryClass {
-    /// Idempotent: it may be retried.
+    /// Idempotent; may be retried.
     Report,
-    /// Not idempotent, and one at a time for each key.
+    /// Not idempotent; queries of one key run one at a time.
     Load,
 }
 
-/// How a query ended for its client.
+/// Outcome of a query for its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// With the engine that made the rows.
+    /// The client received rows. They name the engine that returned them.
     Succeeded {
         engine: String,
     },
@@ -27,7 +28,7 @@
     ConnectionRefused,
     /// The connection ended before the answer was complete, or there was no answer.
     Lost(String),
-    /// An answer that can't be read, or is another query's.
+    /// The answer can't be parsed, or belongs to another query.
     Malformed(String),
 }
 
@@ -39,7 +40,7 @@
     pub class: QueryClass,
     pub key: Option<u64>,
     pub started_at: f64,
-    /// How long its client waits.
+    /// Time in seconds that the client allows for an answer.
     pub limit: f64,
     pub answered_at: f64,
     pub outcome: Outcome,
@@ -51,42 +52,44 @@
     pub query: u64,
     pub gateway: usize,
     pub engine: EngineId,
-    /// When the request was complete.
+    /// Time at which the request was complete.
     pub received_at: f64,
-    /// When its end was written, it was cancelled, or its engine died.
+    /// Time at which the engine reported the end, the attempt was cancelled, or the engine died.
     pub ended_at: Option<f64>,
     pub succeeded: bool,
-    /// Its engine declined it, so it never ran.
+    /// Whether the engine declined the attempt, which then never ran.
     pub declined: bool,
-    /// When its gateway last polled it.
+    /// Time of the gateway's last poll.
     pub polled_at: f64,
 }
 
-/// Protocol: an attempt that is not polled ends after this.
+/// An attempt that is not polled for this time ends, by the protocol.
 pub const ABANDONED_AFTER_SECONDS: u64 = 2;
 
 impl Attempt {
-    /// When it ends if it is not polled again.
+    /// Returns the time at which the attempt ends if it is not polled again.
     pub fn abandoned_at(&self) -> f64 {
         self.polled_at + ABANDONED_AFTER_SECONDS as f64
     }
 
-    /// It ends now, unless it has ended before.
+    /// Records the end of the attempt: `now`, or the time at which it was abandoned before. Does nothing if an end is
+    /// already recorded.
     pub fn end(&mut self, now: f64) {
         let end = now.min(self.abandoned_at());
         self.ended_at.get_or_insert(end);
     }
 }
 
-/// An engine published as draining or deleted.
+/// Publication of an engine as draining or deleted.
 #[derive(Clone, Debug)]
 pub struct Notice {
     pub engine: EngineId,
+    /// Number of the event.
     pub number: u64,
     pub appended: f64,
 }
 
-/// An event of the log as it was written to a gateway's watch.
+/// The write of a change log event to a gateway's stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Delivery {
     pub number: u64,
@@ -94,25 +97,26 @@
     pub delivered_at: f64,
 }
 
-/// How long each watcher took to see an event.
+/// Times that watchers took to receive an event.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeSeen {
     pub number: u64,
     pub appended: f64,
+    /// Seconds from the publication to the receipt, one for each watcher that received the event.
     pub seconds: Vec<f64>,
 }
 
-/// A time in which a gateway did not run or was about to end.
+/// Interruption of a gateway, from the signal that ends its process.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
     pub gateway: usize,
     pub from: f64,
     pub killed: bool,
-    /// It ended by itself with exit code 0.
+    /// Whether the process ended by itself in time with exit code 0.
     pub clean: bool,
 }
 
-/// Everything that the stand-ins observed in a run.
+/// All observations of a run by the simulated engines, clients, watchers and change log.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     pub queries: Vec<Query>,
@@ -121,16 +125,16 @@
     pub deliveries: Vec<Delivery>,
     pub changes: Vec<ChangeSeen>,
     pub outages: Vec<Outage>,
-    /// Engines' slots that each gateway connected to.
+    /// Slots of the engines that each gateway opened connections to.
     pub connected_engines: BTreeMap<usize, BTreeSet<usize>>,
-    /// Seconds from each start of a gateway until it served.
+    /// Seconds from each start of a gateway process until it served.
     pub ready: Vec<f64>,
     pub gateways: usize,
     pub watchers: usize,
     pub engines: usize,
 }
 
-/// The run's one clock, and the observations so far.
+/// The run's clock and its observations so far. Clones share both.
 #[derive(Clone)]
 pub struct Recorder {
     start: Instant,
@@ -145,11 +149,12 @@
         }
     }
 
+    /// Seconds since the recorder was created.
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// Adds an attempt; returns its index.
+    /// Adds an attempt and returns its index.
     pub fn add_attempt(&self, attempt: Attempt) -> usize {
         let mut observations = self.observations();
         observations.attempts.push(attempt);
--- a/crates/scale/src/real_processes/prediction.rs
+++ b/crates/scale/src/real_processes/prediction.rs
@@ -1,5 +1,5 @@
-//! What hollow gateways predict for the real ones: the same list and settings taken through `garnetwall-subset` and the
-//! decision module directly.
+//! Predicts figures of the real gateways with hollow ones: passes the same list and settings directly through
+//! `garnetwall-subset` and the decision module.
 
 use super::endpoint_list::EndpointList;
 use super::experiment::Experiment;
@@ -13,19 +13,20 @@
     RetryScope, Subset, SubsetError, SubsetSettings, UpdateScope,
 };
 
-/// The defaults of the gateways' `subset` block.
+/// Defaults of the gateways' `subset` block.
 const CLASS_FLOOR: usize = 4;
 const RESERVE_PART: usize = 4;
 const JOINS_PER_SECOND: f64 = 1.0;
 const NEAR_WEIGHT: f64 = 1.0;
+/// Cores of a stub engine.
 const CORES: f64 = 8.0;
-/// Simulated seconds in which a subset fills, and the steps.
+/// Simulated time for a subset to fill, and the time step of that simulation.
 const FILL_SECONDS: f64 = 60.0;
 const STEP_SECONDS: f64 = 0.25;
 
 type Figures = Result<Vec<Figure>, Box<dyn std::error::Error>>;
 
-/// Figures of a hollow gateway, and the real ones over them.
+/// Returns the figures of hollow gateways, and the ratios of the real gateways' figures in `real` to them.
 pub fn figures(experiment: &Experiment, real: &[Figure], recorder: &Recorder) -> Figures {
     let mut figures = member_figures(experiment, recorder)?;
     let of = |name: &str| figures.iter().find(|f| f.name == name).map(|f| f.value);
@@ -65,7 +66,8 @@
     Ok(figures)
 }
 
-/// Engines that hollow gateways of the same names hold, and the real ones' engines over that.
+/// For each gateway: the number of engines that a hollow gateway of the same name holds, the number of engines that the
+/// real one connected to, and their ratio. Empty if the experiment has no subset.
 fn member_figures(
     experiment: &Experiment,
     recorder: &Recorder,
@@ -103,7 +105,7 @@
     Ok(figures)
 }
 
-/// How many engines one hollow gateway holds once its subset has filled.
+/// Returns the number of engines that one hollow gateway holds once its subset has filled.
 fn predicted_members(
     experiment: &Experiment,
     gateway: usize,
--- a/crates/scale/src/real_processes/process.rs
+++ b/crates/scale/src/real_processes/process.rs
@@ -1,16 +1,16 @@
-//! The kernel's figures of a process, and signals to it.
+//! Reads a process's resource usage from /proc and sends signals to it.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// The kernel's unit of processor time in /proc, USER_HZ, on every platform that the program runs on.
+/// Unit of processor time in /proc, USER_HZ; it is 100 on every platform that this program runs on.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Fields of /proc/PID/stat after the name, which may hold blanks: user and system time.
+/// Indices of user and system time among the fields of /proc/PID/stat after the name, which may contain blanks.
 const USER_TIME: usize = 11;
 const SYSTEM_TIME: usize = 12;
 
-/// Resources that a process uses.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Usage {
     pub resident_bytes: u64,
@@ -19,7 +19,7 @@
 }
 
 impl Usage {
-    /// None where there is no such process any more.
+    /// Reads the usage of a process; `None` if it no longer exists.
     pub fn of(process: u32) -> Option<Usage> {
         let folder = PathBuf::from(format!("/proc/{process}"));
         let stat = std::fs::read_to_string(folder.join("stat")).ok()?;
@@ -49,9 +49,11 @@
     Some(kilobytes << 10)
 }
 
-/// Sends a signal to a process that this program started and has not yet waited for.
+/// Sends a signal to a process. The caller must have started it and not yet waited for it, so that its id has not been
+/// reused.
 pub fn signal(process: u32, signal: Signal) -> std::io::Result<()> {
     let id = i32::try_from(process).ok().and_then(Pid::from_raw);
-    let id = id.ok_or_else(|| std::io::Error::other(format!("{process} is no process id")))?;
+    let id =
+        id.ok_or_else(|| std::io::Error::other(format!("{process} is not a valid process id")))?;
     Ok(kill_process(id, signal)?)
 }
--- a/crates/scale/src/real_processes/process_figures.rs
+++ b/crates/scale/src/real_processes/process_figures.rs
@@ -1,4 +1,5 @@
-//! Figures of the gateways' processes: memory, descriptors, processor time, connections and bytes.
+//! Figures of the gateway processes: memory, descriptors, processor time, connections and bytes received from the
+//! change log.
 
 use super::change_log;
 use super::figure::Figure;
@@ -8,7 +9,7 @@
 
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The largest sampled values of a gateway's process.
+/// Largest values sampled from a gateway process.
 #[derive(Clone, Copy, Default)]
 pub struct Peak {
     resident_bytes: u64,
@@ -16,7 +17,7 @@
     connections: usize,
 }
 
-/// Samples all gateways at an interval, without end.
+/// Samples all gateways every [`SAMPLE_INTERVAL`]; never returns.
 pub async fn sample(test_bed: &TestBed, peaks: &mut [Peak]) {
     loop {
         for (gateway, peak) in peaks.iter_mut().enumerate() {
@@ -29,7 +30,8 @@
     }
 }
 
-/// What each gateway's process uses; processor time as a part of one core since queries began, or since its last start.
+/// Returns the figures of each running gateway process. Its processor time counts since queries began, or since its
+/// last start. `seconds` is the time since queries began.
 pub async fn gateway_figures(test_bed: &TestBed, peaks: &[Peak], seconds: f64) -> Vec<Figure> {
     let predicted =
         test_bed.log.event_bytes() as f64 + change_log::COMMENT_BYTES_PER_SECOND * seconds;
--- a/crates/scale/src/real_processes/report.rs
+++ b/crates/scale/src/real_processes/report.rs
@@ -1,11 +1,11 @@
-//! What a run prints, and the figures that it writes as JSON lines and CSV.
+//! Prints a run's figures and judgements, and writes the figures as JSON lines and CSV.
 
 use super::figure::Figure;
 use super::judge::Judgement;
 use crate::results::{Results, ResultsError};
 use std::path::Path;
 
-/// Writes figures to this file as JSON lines, and beside it as CSV.
+/// Writes the figures to `file` as JSON lines, and beside it as CSV.
 pub fn write(figures: &[Figure], file: &Path) -> Result<(), ResultsError> {
     let mut results = Results::create(Some(file))?;
     for figure in figures {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Prints what was judged, with the count alone on the last line; whether all passed.
+/// Prints one judgement per line and the number of passed and failed ones on the last line. Returns whether all passed.
 pub fn print_judgements(judgements: &[Judgement]) -> bool {
     for Judgement {
         what,
--- a/crates/scale/src/real_processes/run_statistics.rs
+++ b/crates/scale/src/real_processes/run_statistics.rs
@@ -1,26 +1,30 @@
-//! Statistics of a run as a whole, computed from the observations.
+//! Computes statistics of a run as a whole from its observations.
 
 use super::figure::Figure;
 use super::observations::{ChangeSeen, Observations, Outcome, Query};
 use crate::statistics::quantile;
 use std::collections::BTreeSet;
 
-/// Statistics that the judge holds to bounds.
+/// Statistics of a run, most of which the judge checks against bounds.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub struct RunStatistics {
+    /// Attempts at the busiest engine, relative to the mean over all engines.
     pub max_over_mean: f64,
+    /// 99th percentile of the attempts per engine, relative to the mean.
     pub p99_over_mean: f64,
-    /// The slot of the busiest engine.
+    /// Slot of the busiest engine.
     pub busiest: usize,
-    /// Engines that got an attempt.
+    /// Number of engines that ran an attempt.
     pub engines_used: usize,
-    /// The most engines that one gateway opened connections to.
+    /// Largest number of engines to which one gateway opened connections.
     pub engines_a_gateway: f64,
-    /// The most gateways that opened connections to one engine.
+    /// Largest number of gateways that opened connections to one engine.
     pub gateways_an_engine: f64,
-    /// The worst of all changes; infinite where fewer than 99 in 100 saw it.
+    /// Largest time over all changes until 99 in 100 watchers received the change; infinite if fewer received it.
     pub change_seen_ms: f64,
+    /// Largest time from a gateway's start until it served.
     pub ready_ms: f64,
+    /// Share of all queries, from 0 to 1.
     pub succeeded_share: f64,
 }
 
@@ -56,7 +60,7 @@
     }
 }
 
-/// Attempts that each slot's engines ran.
+/// Counts the attempts that the engines of each slot ran.
 fn attempts_by_engine(observations: &Observations) -> Vec<f64> {
     let mut counts = vec![0.0; observations.engines];
     let attempts = observations.attempts.iter();
@@ -74,7 +78,7 @@
     gateways.into_iter().max().unwrap_or(0)
 }
 
-/// Seconds until 99 in 100 of the watchers had seen a change; infinite where fewer did.
+/// Returns the seconds until 99 in 100 of the watchers had received a change; infinite if fewer received it.
 pub fn seen_by_99_in_100(change: &ChangeSeen, watchers: usize) -> f64 {
     let mut seconds = change.seconds.clone();
     seconds.sort_by(f64::total_cmp);
@@ -85,7 +89,7 @@
     }
 }
 
-/// All figures of a run as a whole.
+/// Returns the figures of a run as a whole.
 pub fn run_figures(observations: &Observations) -> Vec<Figure> {
     let statistics = RunStatistics::new(observations);
     let figure = |name: &str, value: f64| Figure::new("run", 0.0, name, value);
--- a/crates/scale/src/real_processes/script.rs
+++ b/crates/scale/src/real_processes/script.rs
@@ -14,10 +14,11 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Carries out all events, and waits until their effects have ended. The seed draws the engines.
+/// Carries out all events at their times and waits until the last one is complete. `seed` determines which engines are
+/// drawn.
 ///
 /// # Errors
-/// Where a gateway can't be signalled or started again.
+/// A gateway can't be signalled or started again.
 pub async fn run(
     test_bed: Arc<TestBed>,
     events: Vec<Event>,
@@ -33,7 +34,7 @@
         let script = script.clone();
         running.spawn(async move {
             sleep_until(start + Duration::from_secs_f64(event.at_seconds)).await;
-            tracing::info!(at_seconds = event.at_seconds, action = ?event.action, "event");
+            tracing::info!(at_seconds = event.at_seconds, action = ?event.action, "carrying out an event of the experiment");
             script.run(event.action).await
         });
     }
@@ -45,7 +46,7 @@
     Ok(())
 }
 
-/// Events on a test bed.
+/// Carries out events on a test bed.
 struct Script {
     test_bed: Arc<TestBed>,
     random: Mutex<SmallRng>,
@@ -119,7 +120,7 @@
         });
     }
 
-    /// So many engines that serve, drawn by the seed, and not those that another event has taken.
+    /// Draws up to `count` serving engines at random, except those that another event has killed or silenced.
     fn draw(&self, count: usize) -> Vec<usize> {
         let mut slots = self.test_bed.log.endpoint_list().serving();
         slots.shuffle(&mut *self.random.lock().unwrap_or_else(PoisonError::into_inner));
@@ -152,7 +153,8 @@
         });
     }
 
-    /// Starts other engines at these addresses; the same event reports the old ones as deleted.
+    /// Starts new engines at the addresses of `slots`. One event reports the old engines as deleted and the new ones as
+    /// serving.
     fn start_replacements(&self, slots: &[usize]) {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -178,14 +180,15 @@
     async fn burst(&self, count: usize, spread_over: f64) {
         let slots = self.test_bed.log.endpoint_list().serving();
         for slot in slots.iter().cycle().take(count) {
-            // Another event may have changed the slot meanwhile: the entry is published as it is.
+            // Another event may have changed the slot's state meanwhile; the entry is published with its current state.
             self.publish(&[*slot], |endpoint_list, slot| endpoint_list.touch(slot));
             pause(spread_over / count as f64).await;
         }
     }
 }
 
-/// Entries that report one engine as deleted and the next one at its address as serving.
+/// Replaces the engine of a slot. Returns the entries that report the old engine as deleted, unless it was already
+/// reported, and the new one as serving.
 fn replacement(endpoint_list: &mut EndpointList, slot: usize, started_ms: u64) -> Vec<Value> {
     let was_reported_removed = endpoint_list.state(slot) == State::Deleted;
     endpoint_list.set_state(slot, State::Deleted);
--- a/crates/scale/src/real_processes/sweeps.rs
+++ b/crates/scale/src/real_processes/sweeps.rs
@@ -1,4 +1,5 @@
-//! What grows with one quantity: a gateway's memory with idle client connections, the log's work with watchers.
+//! Sweeps: measure a gateway's memory over the number of idle client connections, and the change log's work over the
+//! number of watchers.
 
 use super::change_log::{address_for_watchers, ChangeLog, LogFaults};
 use super::endpoint_list::EndpointList;
@@ -17,22 +18,24 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Descriptors that a swept gateway may have; its part for clients holds the largest step.
+/// Limit on a swept gateway's sockets. The part of it for clients is larger than the largest step.
 const SWEPT_SOCKETS: usize = 18_000;
 const SWEPT_MEMORY_MB: usize = 512;
-/// Connections that are opened at a time.
+/// Number of connections that are opened concurrently.
 const CONNECTS_AT_ONCE: usize = 100;
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Until memory and descriptors are read.
+/// Time to wait after the connections are open before memory and descriptors are read.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// How long a log without changes is measured.
+/// Time for which a change log without changes is measured.
 const IDLE_TIME: Duration = Duration::from_secs(4);
+/// Number of changes published at once.
 const BURST: usize = 100;
 const CONNECTED_TIMEOUT: Duration = Duration::from_secs(30);
 const SEEN_TIMEOUT: Duration = Duration::from_secs(60);
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a sweep measured holds only if everything that it measured was there.
+/// Checks that the connections and watchers of each step were still there and that the changes were received; the
+/// figures of a step are valid only then.
 pub fn judge(figures: &[Figure]) -> Vec<Judgement> {
     let mut judgements = Vec::new();
     for (name, what) in [
@@ -75,7 +78,7 @@
 
 type SweepResult = Result<Vec<Figure>, Box<dyn std::error::Error>>;
 
-/// Plays all sweeps of an experiment.
+/// Runs all sweeps of an experiment.
 pub async fn run(
     experiment: &Experiment,
     binary: &Path,
@@ -92,7 +95,7 @@
     Ok(figures)
 }
 
-/// One gateway with so many client connections, each idle after one answer.
+/// Measures one gateway with `count` client connections, each idle after one answer.
 async fn client_connections(
     experiment: &Experiment,
     binary: &Path,
@@ -131,6 +134,7 @@
     ])
 }
 
+/// Opens `count` connections on which one call was answered; returns fewer after the first failure.
 async fn open(gateways: &Arc<Gateways>, count: usize) -> Vec<Connection> {
     let mut connections = Vec::with_capacity(count);
     while connections.len() < count {
@@ -156,13 +160,14 @@
     Some(connection)
 }
 
-/// What a step cost the log, and how long until watchers had seen it.
+/// Cost of one change for the log, and the time until watchers received it.
 struct Cost {
     processor_seconds: f64,
     bytes: f64,
     seen_ms: f64,
 }
 
+/// A change log with watchers, under measurement.
 struct WatchedLog {
     log: ChangeLog,
     recorder: Recorder,
@@ -170,7 +175,7 @@
 }
 
 impl WatchedLog {
-    /// What the log costs while idle, and for each kind of change.
+    /// Measures the log while idle and for each kind of change. `connected` is the number of watchers with a stream.
     async fn figures(&self, connected: usize) -> Vec<Figure> {
         let watchers = self.watchers as f64;
         let figure = |name: &str, value: f64| Figure::new("log_watchers", watchers, name, value);
@@ -198,6 +203,7 @@
         figures
     }
 
+    /// Measures the log from the call of `act` until all watchers have received its changes.
     async fn cost(&self, act: impl FnOnce(&ChangeLog)) -> Cost {
         let (processor, bytes) = (self.log.processor_seconds(), self.log.bytes_to_watchers());
         let before = self.recorder.observations().changes.len();
@@ -217,6 +223,7 @@
         }
     }
 
+    /// Waits until every watcher has received every change, at most [`SEEN_TIMEOUT`].
     async fn all_seen(&self) {
         let until = Instant::now() + SEEN_TIMEOUT;
         let all = |recorder: &Recorder| {
@@ -232,7 +239,8 @@
     }
 }
 
-/// A log of the experiment's list with so many watchers. They share this process, so that only the log's thread is measured.
+/// Measures a change log of the experiment's list with `count` watchers. The watchers run in this process; only the
+/// processor time of the log's thread is measured.
 async fn log_watchers(experiment: &Experiment, count: usize) -> SweepResult {
     let observations = Observations {
         watchers: count,
@@ -259,6 +267,7 @@
     Ok(watched.figures(connected).await)
 }
 
+/// Publishes a change of one entry that has no effect on placement.
 fn touch(log: &ChangeLog, slot: usize) {
     log.change(|endpoint_list| {
         let slot = slot % endpoint_list.len();
--- a/crates/scale/src/real_processes/test_bed.rs
+++ b/crates/scale/src/real_processes/test_bed.rs
@@ -1,4 +1,4 @@
-//! The test bed of a run: stand-ins for the change log and the engines, and the real gateways between them.
+//! Test bed of a run: the simulated change log and engines, and the real gateways between them.
 
 use super::change_log::{ChangeLog, LogFaults};
 use super::endpoint_list::EndpointList;
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::task::JoinSet;
 
-/// Everything that an event may change.
+/// Processes and servers that events act on.
 pub struct TestBed {
     pub log: ChangeLog,
     pub engines: Arc<Engines>,
@@ -18,10 +18,10 @@
 }
 
 impl TestBed {
-    /// Starts the stand-ins; the gateways are not started yet.
+    /// Starts the simulated change log and engines. The gateways are not started yet.
     ///
     /// # Errors
-    /// Where the stand-ins can't listen.
+    /// A listener can't be opened.
     pub async fn build(
         experiment: &Experiment,
         binary: &Path,
@@ -60,10 +60,10 @@
         })
     }
 
-    /// Starts all gateways at once.
+    /// Starts all gateways concurrently.
     ///
     /// # Errors
-    /// The first one's that could not be started.
+    /// The error of the first gateway that fails to start.
     pub async fn start_gateways(self: &Arc<Self>) -> Result<(), GatewayError> {
         let mut starting = JoinSet::new();
         for gateway in 0..self.gateways.count() {
@@ -79,14 +79,14 @@
     }
 }
 
-/// Gateways that a run has started, which end with it however it ends.
+/// Gateways that a run has started, kept so that they can be stopped even when the run is cancelled.
 #[derive(Default)]
 pub struct StartedGateways {
     gateways: Mutex<Vec<Arc<Gateways>>>,
 }
 
 impl StartedGateways {
-    /// Has the run end these gateways however it ends.
+    /// Adds gateways to those that [`StartedGateways::stop`] ends.
     pub fn register(&self, gateways: &Arc<Gateways>) {
         self.gateways
             .lock()
@@ -94,7 +94,7 @@
             .push(gateways.clone());
     }
 
-    /// Ends all of them, and waits for their processes.
+    /// Ends all registered gateways and waits for their processes.
     pub async fn stop(&self) {
         let gateways =
             std::mem::take(&mut *self.gateways.lock().unwrap_or_else(PoisonError::into_inner));
--- a/crates/scale/src/real_processes/tests.rs
+++ b/crates/scale/src/real_processes/tests.rs
@@ -1,4 +1,4 @@
-//! The judge on observations written by hand, and small parts of the stand-ins.
+//! Tests of the judge with hand-written observations, and of small parts of the simulated change log and engines.
 
 use super::endpoint_list::{address, slot, EngineId};
 use super::experiment::{Expect, Experiment};
--- a/crates/scale/src/real_processes/trends.rs
+++ b/crates/scale/src/real_processes/trends.rs
@@ -1,10 +1,11 @@
-//! Straight lines through swept figures: fitted on all steps but the largest, which the fit then predicts.
+//! Fits straight lines to swept figures. The fit uses all steps but the largest, whose value it then predicts.
 
 use super::figure::Figure;
 use crate::least_squares::LeastSquares;
 use std::collections::BTreeMap;
 
-/// For each swept figure: the trend, its largest residual, and the largest step as predicted and as measured.
+/// Returns, for each swept figure, the trend, its largest residual, and the predicted value of the largest step with
+/// the ratio of the measured value to it.
 pub fn figures(swept: &[Figure]) -> Vec<Figure> {
     let mut series: BTreeMap<(&str, &str), Vec<(f64, f64)>> = BTreeMap::new();
     for figure in swept {
--- a/crates/scale/src/real_processes/watchers.rs
+++ b/crates/scale/src/real_processes/watchers.rs
@@ -1,4 +1,4 @@
-//! Watchers: each follows the change log over a real connection and records only when it received which event.
+//! Watchers: each reads the change log over a real connection and records only the times at which it receives events.
 
 use super::http_client::ConnectError;
 use super::observations::Recorder;
@@ -13,24 +13,24 @@
 use thiserror::Error;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A stream without bytes for this long has failed.
+/// A stream that carries no bytes for this time has failed.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A watcher connects again after a random time up to this.
+/// Upper limit of the random delay before a watcher reconnects.
 const MAX_RECONNECT_DELAY_MS: u64 = 1_000;
-/// Connections that are opened at a time, so that the log's accept queue holds them.
+/// Number of connections opened between two pauses; the change log's accept queue has room for them.
 const CONNECTS_AT_ONCE: usize = 200;
 const CONNECT_INTERVAL: Duration = Duration::from_millis(20);
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A line's first bytes, which hold the event's number.
+/// Number of bytes stored from the start of a line; enough for the event's number.
 const PREFIX_BYTES: usize = 32;
 
-/// Watchers that run; they end with the runtime.
+/// Running watchers. They end with the runtime.
 pub struct Watchers {
     connected: Arc<AtomicUsize>,
 }
 
 impl Watchers {
-    /// Starts so many, which have the events up to `last`.
+    /// Starts `count` watchers that have already received the events up to `last`.
     pub async fn start(count: usize, log: SocketAddr, last: u64, recorder: &Recorder) -> Watchers {
         let connected = Arc::new(AtomicUsize::new(0));
         for number in 0..count {
@@ -51,7 +51,7 @@
         Watchers { connected }
     }
 
-    /// Waits until so many have a stream, or the time is up.
+    /// Waits until `count` watchers have a stream, at most for `limit`.
     pub async fn wait_connected(&self, count: usize, limit: Duration) {
         let until = Instant::now() + limit;
         while self.connected() < count && Instant::now() < until {
@@ -59,20 +59,20 @@
         }
     }
 
-    /// How many have a stream.
+    /// Returns the number of watchers that have a stream.
     pub fn connected(&self) -> usize {
         self.connected.load(Ordering::Relaxed)
     }
 }
 
-/// Why a watcher lost its stream; it connects again.
+/// Failure of a watcher's stream; the watcher then reconnects.
 #[derive(Debug, Error)]
 enum WatchError {
     #[error(transparent)]
     Connect(#[from] ConnectError),
-    #[error("no answer")]
+    #[error("change log did not answer in time")]
     NoAnswer,
-    #[error("silent")]
+    #[error("change log sent no bytes in time")]
     Silent,
     #[error(transparent)]
     Stream(#[from] hyper::Error),
@@ -80,10 +80,11 @@
 
 struct Watcher {
     log: SocketAddr,
+    /// Number of the last event received.
     last: u64,
     recorder: Recorder,
     connected: Arc<AtomicUsize>,
-    /// Of its own, so that watchers do not connect in step.
+    /// Seeded per watcher, so that watchers do not reconnect at the same times.
     random: SmallRng,
 }
 
@@ -91,14 +92,14 @@
     async fn follow(mut self) {
         loop {
             if let Err(error) = self.follow_once().await {
-                tracing::debug!(%error, "watcher lost the log");
+                tracing::debug!(%error, "watcher lost its stream of the change log; reconnecting");
             }
             let pause = self.random.random_range(0..MAX_RECONNECT_DELAY_MS);
             sleep(Duration::from_millis(pause)).await;
         }
     }
 
-    /// Follows the log on one connection until that ends.
+    /// Reads the change log on one connection until the connection ends.
     async fn follow_once(&mut self) -> Result<(), WatchError> {
         let mut connection = super::http_client::connect(self.log).await?;
         let mut request = super::http_client::get("/changes");
@@ -132,7 +133,7 @@
     fn record_received(&mut self, number: u64) {
         let now = self.recorder.now();
         let mut observations = self.recorder.observations();
-        // One event of the whole list brings all changes up to its number.
+        // An event with the whole list covers all changes up to its number.
         for change in observations
             .changes
             .iter_mut()
@@ -147,15 +148,16 @@
     }
 }
 
-/// Parses the numbers of events from a stream's bytes; it stores only the start of the unfinished line.
+/// Parses the numbers of events from a stream's bytes. Stores only the start of the unfinished line.
 #[derive(Default)]
 pub struct EventNumberParser {
     start: Vec<u8>,
-    /// The number of the unfinished event; an empty line completes it.
+    /// Number of the unfinished event, which an empty line completes.
     number: Option<u64>,
 }
 
 impl EventNumberParser {
+    /// Parses the next bytes and returns the numbers of the events that they complete.
     pub fn feed(&mut self, bytes: &Bytes) -> Vec<u64> {
         let mut complete = Vec::new();
         let mut parts = bytes.split(|byte| *byte == b'\n').peekable();
@@ -171,6 +173,7 @@
         complete
     }
 
+    /// Parses the line in `start` and clears it. Returns the event's number if the line completes an event.
     fn parse_field(&mut self) -> Option<u64> {
         let field = std::mem::take(&mut self.start);
         if field.is_empty() {
--- a/crates/scale/src/real_processes/workload.rs
+++ b/crates/scale/src/real_processes/workload.rs
@@ -1,4 +1,4 @@
-//! The workload of an experiment: clients send queries while its events happen, and what was observed is judged.
+//! Runs the workload of an experiment: clients send queries while the events happen. Then judges the observations.
 
 use super::change_log::address_for_watchers;
 use super::clients::Clients;
@@ -20,22 +20,22 @@
 use thiserror::Error;
 use tokio::time::{sleep, timeout};
 
-/// For the start of all gateways at the same time.
+/// Time for all gateways to start concurrently.
 const START_TIMEOUT: Duration = Duration::from_secs(120);
-/// Watchers that are not connected by then are left out, and fail their bound.
+/// Time for the watchers to connect. The run then starts without the missing ones, which fails their bound.
 const WATCHERS_TIMEOUT: Duration = Duration::from_secs(30);
-/// After the last event, so that watchers receive it.
+/// Pause after the last event, so that watchers receive it.
 const FINAL_DELIVERY_DELAY: Duration = Duration::from_secs(1);
 
-/// Why a workload can't be run.
+/// The gateways took too long to start.
 #[derive(Debug, Error)]
-#[error("gateways did not serve within {START_TIMEOUT:?}; give the run fewer of them")]
+#[error("gateways did not serve within {START_TIMEOUT:?}; run fewer gateways")]
 struct StartTooLong;
 
-/// Runs clients and events on a test bed, and judges what was observed.
+/// Runs clients and events on a test bed and judges the observations.
 ///
 /// # Errors
-/// Where the test bed can't be started, or a gateway fails.
+/// The test bed can't be built, or a gateway fails.
 pub async fn run(
     experiment: &Experiment,
     binary: &Path,
@@ -69,7 +69,7 @@
     })
 }
 
-/// Starts the gateways, runs clients and events, and measures the gateways before they end.
+/// Starts the gateways, runs clients and events, and measures the gateways before they are stopped.
 async fn run_test_bed(
     experiment: &Experiment,
     test_bed: &Arc<TestBed>,
@@ -98,7 +98,7 @@
     Ok(figures)
 }
 
-/// Runs clients and events to their end; returns what the gateways used at most meanwhile.
+/// Runs clients and events to their end. Returns the peak usage of each gateway during that time.
 async fn run_clients_and_events(
     experiment: &Experiment,
     test_bed: &Arc<TestBed>,
