--- a/crates/scale/src/real_processes/judge.rs
+++ b/crates/scale/src/real_processes/judge.rs
@@ -131,9 +131,7 @@
                 Outcome::Lost(why) if !self.was_killed(query) => {
                     Some(format!("{:016x} was lost: {why}", query.id))
                 }
-                Outcome::Malformed(why) => {
-                    Some(format!("{:016x} had a malformed answer: {why}", query.id))
-                }
+                Outcome::Malformed(why) => Some(format!("{:016x} malformed: {why}", query.id)),
                 Outcome::Succeeded { .. } | Outcome::Rejected | Outcome::Failed
                     if took > query.limit + SOCKET_ALLOWANCE_SECONDS =>
                 {
@@ -277,12 +275,8 @@
             let late = attempt.received_at - query.answered_at;
             let was_answered =
                 !matches!(query.outcome, Outcome::Lost(_) | Outcome::ConnectionRefused);
-            (was_answered && late > IN_TRANSIT_ALLOWANCE_SECONDS).then(|| {
-                format!(
-                    "attempt of {:016x} arrived {late:.3} s after the answer",
-                    query.id
-                )
-            })
+            (was_answered && late > IN_TRANSIT_ALLOWANCE_SECONDS)
+                .then(|| format!("{:016x}: attempt {late:.3} s after the answer", query.id))
         };
         self.observations
             .attempts
--- a/crates/scale/src/slopes/chart.rs
+++ b/crates/scale/src/slopes/chart.rs
@@ -1,4 +1,4 @@
-//! A chart of one metric: all sizes on logarithmic axes, so that a straight line of slope 1 is linear growth.
+//! Draws a chart of one metric over all sizes. Both axes are logarithmic, so that linear growth is a line of slope 1.
 
 use super::quantities::Quantity;
 use super::report::Series;
@@ -10,17 +10,19 @@
 const SIZE: (u32, u32) = (640, 420);
 const MARGIN: u32 = 12;
 const LABEL_AREA: u32 = 56;
+/// Radius of a point, in pixels.
 const POINT: i32 = 4;
-/// Points of the fitted curve.
+/// Number of segments of the fitted curve.
 const CURVE_POINTS: u32 = 64;
-/// Space around the values, as a factor.
+/// Factor by which each axis extends beyond the smallest and the largest value.
 const MARGIN_FACTOR: f64 = 2.0;
 
-/// Draws the medians, the fit and what was measured outside of its range.
+/// Draws the medians, the fitted curve, and the measurement outside of the fitted range. Draws nothing if no value is
+/// positive, since logarithmic axes can't show it.
 ///
 /// # Errors
 ///
-/// Where the file can't be written.
+/// The file can't be written.
 pub fn draw(path: &Path, series: &Series, quantity: Quantity) -> Result<(), Box<dyn Error>> {
     let medians: Vec<(f64, f64)> = series
         .samples
@@ -62,13 +64,14 @@
     Ok(())
 }
 
-/// The range of an axis, with room on both sides.
+/// Returns the range of an axis, with a margin on both sides.
 fn axis_range(values: impl Iterator<Item = f64> + Clone) -> Range<f64> {
     let least = values.clone().fold(f64::INFINITY, f64::min);
     let most = values.fold(0.0, f64::max);
     least / MARGIN_FACTOR..most * MARGIN_FACTOR
 }
 
+/// Returns the points of the fitted curve, evenly spaced on the logarithmic axis.
 fn fitted_curve<'a>(
     series: &'a Series,
     sizes: &Range<f64>,
--- a/crates/scale/src/slopes/experiment.rs
+++ b/crates/scale/src/slopes/experiment.rs
@@ -1,4 +1,4 @@
-//! The file of an experiment on slopes, and its checks.
+//! Reads and checks experiment files of the subcommand `slopes`.
 
 use super::metric::Metric;
 use super::quantities::{Quantities, Quantity, MAX_SIZE};
@@ -7,31 +7,31 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// A fit over fewer sizes says little.
+/// Minimum number of sizes; a fit over fewer is not meaningful.
 const MIN_SIZES: usize = 4;
-/// More runs of one point only make it last longer.
+/// Maximum number of runs of each point; more only prolong the experiment.
 const MAX_RUNS: u32 = 100;
 
-/// One experiment.
+/// Parameters of an experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Experiment {
     pub role: RoleName,
     pub sweep: Quantity,
-    /// Sizes of the quantity that is swept, from the smallest on.
+    /// Sizes of the swept quantity, ascending.
     pub sizes: Vec<u64>,
-    /// A size outside of these, predicted by the fit and then measured.
+    /// A size outside the range of `sizes`, which is predicted by the fit and then measured.
     pub predict: Option<u64>,
-    /// How often each point is measured.
+    /// Number of times that each point is measured, from 1 to 100.
     pub runs: u32,
     pub seed: u64,
-    /// Timeout of the measurement of one point, in seconds.
+    /// Timeout for the measurement of one point, in seconds.
     #[serde(default = "usual_point_limit")]
     pub point_limit: f64,
-    /// The quantities that stay as they are.
+    /// Values of the quantities that are not swept.
     #[serde(default)]
     pub fixed: Quantities,
-    /// Judged at the end; the verdict fails where one is passed.
+    /// Limits that are checked at the end; the verdict fails if one is exceeded.
     #[serde(default)]
     pub limits: Vec<Limit>,
 }
@@ -40,23 +40,23 @@
     300.0
 }
 
-/// What a metric may be at most.
+/// Upper limits on a metric.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Limit {
     pub metric: Metric,
-    /// The median at every size.
+    /// Limit on the median at every size.
     pub most: Option<f64>,
-    /// The median at every size, over that at the smallest.
+    /// Limit on the ratio of the median at every size to the median at the smallest size.
     pub most_over_smallest: Option<f64>,
 }
 
 impl Experiment {
-    /// Reads an experiment and checks it.
+    /// Reads an experiment file and checks its values.
     ///
     /// # Errors
     ///
-    /// Where it can't be read or used: with the place in it, and what to do.
+    /// The file can't be read or parsed, or has a value that can't be used. The error names the key and a remedy.
     pub fn read(file: &Path) -> Result<Self, ExperimentError> {
         experiment::read(file, Experiment::check)
     }
@@ -74,15 +74,15 @@
             Err(InvalidValue::new("sizes", found, expected, remedy))
         };
         if self.sizes.len() < MIN_SIZES {
-            let remedy = "add sizes, each about twice the last";
+            let remedy = "add sizes, each about twice the previous one";
             return fault("a list of four sizes or more", remedy);
         }
         if !self.sizes.windows(2).all(|pair| pair[0] < pair[1]) || self.sizes[0] == 0 {
-            let remedy = "sort it, and name each size once";
+            let remedy = "sort the sizes and list each once";
             return fault("a list that grows from over 0", remedy);
         }
         if self.sizes[self.sizes.len() - 1] > MAX_SIZE {
-            return fault("a list of sizes up to 10,000,000", "leave the larger out");
+            return fault("a list of sizes up to 10,000,000", "remove larger sizes");
         }
         Ok(())
     }
@@ -98,8 +98,8 @@
         Err(InvalidValue::new(
             "predict",
             size,
-            "a size outside of the sizes",
-            "name a size under the smallest or over the largest, up to 10,000,000",
+            "a size outside the range of sizes",
+            "use a size below the smallest or above the largest, up to 10,000,000",
         ))
     }
 
@@ -110,7 +110,7 @@
                 "runs",
                 self.runs,
                 expected,
-                "3 to 9 are usual",
+                "3 to 9 are typical",
             ));
         }
         if !(self.point_limit.is_finite() && self.point_limit > 0.0) {
@@ -118,7 +118,7 @@
                 "point-limit",
                 self.point_limit,
                 "a time over 0",
-                "write the seconds that the slowest point may take",
+                "use the number of seconds that the slowest point may take",
             ));
         }
         Ok(())
--- a/crates/scale/src/slopes/judge.rs
+++ b/crates/scale/src/slopes/judge.rs
@@ -1,10 +1,10 @@
-//! Judges the figures against the limits of the experiment.
+//! Checks the measured values against the limits of the experiment.
 
 use super::experiment::Limit;
 use super::regression::Sample;
 use super::report::{number, Series};
 
-/// Whether all limits hold. Each is printed with its figure.
+/// Checks all limits, prints a line for each and the counts, and returns whether all hold.
 pub fn judge(limits: &[Limit], all_series: &[Series]) -> bool {
     let verdicts: Vec<bool> = limits
         .iter()
@@ -15,6 +15,7 @@
     passed == verdicts.len()
 }
 
+/// Checks one limit at all sizes, the predicted one included. A metric that the role does not measure fails.
 fn judge_limit(limit: &Limit, all_series: &[Series]) -> Vec<bool> {
     let label = limit.metric.label();
     let Some(series) = all_series
--- a/crates/scale/src/slopes/measurement.rs
+++ b/crates/scale/src/slopes/measurement.rs
@@ -1,11 +1,11 @@
-//! A point and the values measured at it: the input and output of the measuring process.
+//! A point to measure and the values measured at it: the JSON input and output of the measuring process.
 
 use super::metric::Metric;
 use super::quantities::Quantities;
 use super::role_name::RoleName;
 use serde::{Deserialize, Serialize};
 
-/// One measured value.
+/// A measured value, in the unit of its metric.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Measured {
     pub metric: Metric,
@@ -18,7 +18,7 @@
     }
 }
 
-/// The input of the measuring process.
+/// A point to measure; the input of the measuring process.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Point {
     pub role: RoleName,
--- a/crates/scale/src/slopes/metric.rs
+++ b/crates/scale/src/slopes/metric.rs
@@ -1,55 +1,55 @@
-//! The metrics that roles measure, with their units.
+//! Metrics that roles measure, with their units.
 
 use serde::{Deserialize, Serialize};
 
-/// A measured quantity.
+/// A metric that one or more roles measure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Metric {
-    /// Processor microseconds of the decisions on one query.
+    /// Processor time of the decisions on one query, in microseconds.
     Query,
-    /// Share of a core that the decisions take at the rate of the point, in percent.
+    /// Share of a core that the decisions use at the point's query rate, in percent.
     CoreShare,
-    /// Placement decisions of the module for each query.
+    /// Placement decisions of the module per query.
     Draws,
-    /// Processor microseconds of the first whole list.
+    /// Processor time to apply the first whole list, in microseconds.
     FirstList,
-    /// Processor microseconds of a repeated whole list.
+    /// Processor time to apply the unchanged whole list again, in microseconds.
     WholeList,
-    /// Processor microseconds of one changed entry.
+    /// Processor time to apply one changed entry, in microseconds.
     ChangedLine,
-    /// Processor microseconds of decoding the whole list.
+    /// Processor time to decode the whole list, in microseconds.
     DecodeList,
-    /// Processor microseconds of decoding one changed entry.
+    /// Processor time to decode one changed entry, in microseconds.
     DecodeLine,
-    /// Bytes of the whole list as it is sent.
+    /// Size of the whole list as sent, in bytes.
     ListBytes,
-    /// Bytes of one changed entry as it is sent.
+    /// Size of one changed entry as sent, in bytes.
     LineBytes,
-    /// Resident bytes that were added.
+    /// Resident memory that the measured state adds, in bytes.
     Resident,
-    /// Resident bytes that each additional subset of one catalog adds.
+    /// Resident memory that each additional subset of one catalog adds, in bytes.
     SubsetBytes,
-    /// Engines of the subset.
+    /// Number of engines in the subset.
     SubsetEngines,
-    /// Gateways that hold an engine, in the mean.
+    /// Mean number of gateways that hold an engine.
     Holders,
-    /// Bytes a second that one member sends.
+    /// Bytes that one member sends per second.
     MemberBytes,
-    /// Processor microseconds a second of one member.
+    /// Processor time of one member per second, in microseconds.
     MemberTime,
-    /// Resident bytes of one member.
+    /// Resident memory of one member, in bytes.
     MemberResident,
-    /// Processor microseconds of one attempt in the ledger, from its opening to its close.
+    /// Processor time of one attempt in the ledger, from its opening to its close, in microseconds.
     Attempt,
-    /// Processor microseconds of reading and checking a file.
+    /// Processor time to read and check a file, in microseconds.
     Read,
-    /// Processor microseconds of one member's renewal at a lease issuer.
+    /// Processor time of one member's renewal at a lease issuer, in microseconds.
     Renewal,
 }
 
 impl Metric {
-    /// What it is, with its unit.
+    /// Name and unit of the metric in tables, results and names of charts.
     pub fn label(self) -> &'static str {
         match self {
             Metric::Query => "a query, us",
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -1,5 +1,6 @@
-//! Slopes: what one role costs as one quantity grows. Each point is measured several times, each time in a fresh process;
-//! a line and a power are fitted, and a size outside of the fitted range is predicted and then measured.
+//! The subcommand `slopes`: measures the cost of one role as one quantity grows. Each point is measured several times,
+//! each time in a fresh process. A line and a power law are fitted to the sizes; a size outside the fitted range is
+//! predicted and then measured.
 
 mod chart;
 mod experiment;
@@ -27,10 +28,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Values by metric and size.
+/// Measured values of all runs, by metric and size.
 type Values = BTreeMap<Metric, BTreeMap<u64, Vec<f64>>>;
 
-/// Measures the point on standard input, and writes the values to standard output.
+/// Reads a point from standard input, measures it, and writes the values to standard output.
 pub fn measure_point() -> Verdict {
     let point: Point = serde_json::from_reader(std::io::stdin())?;
     let measured = roles::role(point.role).measure(&point)?;
@@ -38,7 +39,8 @@
     Ok(true)
 }
 
-/// Runs one experiment.
+/// Runs one experiment: measures all points, prints tables and fits, and checks the limits. With a results file, also
+/// writes the values and a chart for each metric.
 pub fn run(arguments: &RunArguments) -> Verdict {
     let mut experiment = Experiment::read(&arguments.experiment)?;
     experiment.seed = arguments.seed.unwrap_or(experiment.seed);
@@ -57,7 +59,7 @@
     Ok(judge::judge(&experiment.limits, &all_series))
 }
 
-/// Measures all points. Each run takes the sizes in turn, so that a change of the machine's load affects all of them.
+/// Measures all points. Each run measures every size once, so that a change of the machine's load affects all sizes.
 fn measure_all(
     experiment: &Experiment,
     results: &mut Results,
@@ -95,6 +97,7 @@
     Ok(values)
 }
 
+/// Returns the point of one run and size. Each run has its own seed.
 fn point(experiment: &Experiment, run: u32, size: u64) -> Point {
     Point {
         role: experiment.role,
@@ -103,13 +106,14 @@
     }
 }
 
-/// A bar on standard error, hidden where that is no terminal.
+/// Creates a progress bar on standard error, hidden if standard error is not a terminal.
 fn progress(points: u64) -> ProgressBar {
     let bar = ProgressBar::new(points);
     let style = ProgressStyle::with_template("{bar:30} {pos}/{len} {msg} {elapsed}");
     bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
+/// Fits the regression to a metric's values and compares it with the measurement at the predicted size.
 fn series(experiment: &Experiment, metric: Metric, mut sizes: BTreeMap<u64, Vec<f64>>) -> Series {
     let outside = experiment
         .predict
@@ -142,7 +146,7 @@
     println!("{}{rows}", report::regression_header(experiment.predict));
 }
 
-/// Beside the results, by the metric's name.
+/// Returns the path of a metric's chart, in the folder of the results.
 fn chart_path(results: &Path, metric: Metric) -> PathBuf {
     let stem = results.file_stem().unwrap_or_default().to_string_lossy();
     let words: Vec<&str> = metric
--- a/crates/scale/src/slopes/quantities.rs
+++ b/crates/scale/src/slopes/quantities.rs
@@ -1,13 +1,14 @@
-//! The quantities of a point, one of which a sweep varies.
+//! Quantities of a point, one of which a sweep varies.
 
 use crate::experiment::InvalidValue;
 use serde::{Deserialize, Serialize};
 
-/// Larger points would not fit a test machine.
+/// Maximum value of a quantity; larger points do not fit on a test machine.
 pub const MAX_SIZE: u64 = 10_000_000;
+/// At 100 % no message would arrive.
 const MAX_LOSS_PERCENT: u64 = 90;
 
-/// The quantity that grows from point to point.
+/// A quantity that a sweep can vary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Quantity {
@@ -21,6 +22,7 @@
 }
 
 impl Quantity {
+    /// Name of the quantity in tables and results.
     pub fn label(self) -> &'static str {
         match self {
             Quantity::Engines => "engines",
@@ -34,29 +36,29 @@
     }
 }
 
-/// The quantities of a point.
+/// All quantities of a point. Each role uses those that concern it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Quantities {
     pub engines: u64,
     pub gateways: u64,
-    /// Queries that the one measured gateway receives.
+    /// Rate of queries at the one measured gateway.
     pub queries_per_second: u64,
-    /// Distinct keys of a class of queries in order; 0 for no such class.
+    /// Number of distinct ordering keys of the class whose queries run in order; 0 for no such class.
     pub keys: u64,
-    /// Changed entries of the list.
+    /// Rate of changed entries of the list.
     pub changes_per_second: u64,
     pub members: u64,
     pub open_attempts: u64,
-    /// Simulated seconds that are measured.
+    /// Length of the measured part of the simulation, in simulated seconds.
     pub seconds: f64,
-    /// Simulated seconds before.
+    /// Length of the simulation before the measured part, in simulated seconds.
     pub settling: f64,
-    /// Processor seconds of one query on an engine.
+    /// Work of one query on an engine, in seconds of processor time.
     pub work: f64,
-    /// Engines of a subset; 0 for the whole list.
+    /// Number of engines in a subset; 0 for the whole list.
     pub subset_size: u64,
-    /// Messages that are lost, of 100.
+    /// Share of messages that are lost, in percent.
     pub loss: u64,
 }
 
@@ -80,7 +82,7 @@
 }
 
 impl Quantities {
-    /// The same with one quantity set.
+    /// Returns the quantities with one of them set to `size`.
     pub fn with(mut self, quantity: Quantity, size: u64) -> Self {
         match quantity {
             Quantity::Engines => self.engines = size,
@@ -96,9 +98,11 @@
 }
 
 impl Quantities {
+    /// Checks that all quantities can be simulated.
+    ///
     /// # Errors
     ///
-    /// The first of the quantities that can't be simulated.
+    /// Names the first quantity that is out of range.
     pub fn check(&self) -> Result<(), InvalidValue> {
         self.check_times()?;
         self.check_counts()
@@ -114,13 +118,13 @@
         let Some((key, seconds)) = times.into_iter().find(unusable) else {
             return Ok(());
         };
-        let (expected, remedy) = ("a time over 0", "write it in seconds");
+        let (expected, remedy) = ("a time over 0", "use a time in seconds");
         Err(InvalidValue::new(key, seconds, expected, remedy))
     }
 
     fn check_counts(&self) -> Result<(), InvalidValue> {
         if self.loss > MAX_LOSS_PERCENT {
-            let (expected, remedy) = ("0 to 90 of 100", "no message comes at 100");
+            let (expected, remedy) = ("0 to 90 of 100", "at 100 no message arrives");
             return Err(InvalidValue::new("fixed.loss", self.loss, expected, remedy));
         }
         let counts = [
@@ -135,7 +139,7 @@
             return Ok(());
         };
         let expected = "a number from 1 to 10,000,000";
-        let remedy = "leave the key out for the usual number";
+        let remedy = "remove the key to use the default";
         Err(InvalidValue::new(key, count, expected, remedy))
     }
 }
--- a/crates/scale/src/slopes/regression.rs
+++ b/crates/scale/src/slopes/regression.rs
@@ -1,20 +1,20 @@
-//! Regression of a metric on the size: a line and a power law, with their residuals.
+//! Regression of a metric on the size: fits a line and a power law.
 
 use crate::least_squares::LeastSquares;
 use crate::statistics;
 
-/// Exponents over this grow faster than linear.
+/// Largest exponent that counts as linear growth; a larger one counts as superlinear.
 pub const MAX_LINEAR_EXPONENT: f64 = 1.1;
 /// Standard errors by which an exponent must exceed [`MAX_LINEAR_EXPONENT`] to count as superlinear.
 const STANDARD_ERRORS: f64 = 2.0;
-/// Nothing is divided by less.
+/// Lower limit on divisors, which avoids division by zero.
 const MIN_DIVISOR: f64 = 1e-12;
 
-/// All runs at one size.
+/// The values of all runs at one size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sample {
     pub size: f64,
-    /// In rising order.
+    /// Ascending.
     values: Vec<f64>,
 }
 
@@ -24,10 +24,12 @@
         Sample { size, values }
     }
 
+    /// Smallest value; 0 without values.
     pub fn least(&self) -> f64 {
         self.values.first().copied().unwrap_or(0.0)
     }
 
+    /// Largest value; 0 without values.
     pub fn most(&self) -> f64 {
         self.values.last().copied().unwrap_or(0.0)
     }
@@ -37,28 +39,29 @@
     }
 }
 
-/// How a metric grows with the size.
+/// Growth of a metric with the size.
 ///
-/// The power law needs positive values.
+/// The power law is defined only for positive values.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Regression {
     pub slope: f64,
     pub intercept: f64,
-    /// Largest distance of a median from the line, over the largest median.
+    /// Largest distance of a median from the line, relative to the largest median.
     pub residual: f64,
-    /// Of the power law over all sizes; not a number where a value is 0 or less, as are all that follow.
+    /// Exponent of the power law over all sizes. NaN if a value is 0 or less, as are the other exponents and the error.
     pub exponent: f64,
+    /// Standard error of `exponent`.
     pub exponent_error: f64,
-    /// Of the power law between the two largest sizes, where an intercept hides least.
+    /// Exponent of the power law between the two largest sizes, where an intercept distorts it least.
     pub last_exponent: f64,
-    /// Whether it grows faster than linear beyond its spread.
+    /// Whether the metric grows faster than linearly by more than its spread.
     pub superlinear: bool,
-    /// The largest size and its median, from where a power is carried on.
+    /// The largest size and its median, from which a power law is extrapolated.
     last: (f64, f64),
 }
 
 impl Regression {
-    /// The regression over four sizes or more, the smallest first.
+    /// Computes the regression over four sizes or more, in ascending order.
     pub fn new(samples: &[Sample]) -> Self {
         let medians: Vec<(f64, f64)> = samples.iter().map(|s| (s.size, s.median())).collect();
         let linear = least_squares(&medians);
@@ -70,7 +73,7 @@
         let power = least_squares(&logarithms);
         let exponent_error = power.slope_error(&logarithms);
         let last_exponents = LastExponents::new(samples);
-        // One run of a size has no spread to be beyond.
+        // A size that was measured only once has no spread to compare with.
         let repeated = samples.iter().all(|sample| sample.values.len() > 1);
         Regression {
             slope: linear.slope,
@@ -85,8 +88,8 @@
         }
     }
 
-    /// The value at another size: by a power from the last size on where it grows faster than linear (the larger exponent)
-    /// or falls, else by the line.
+    /// Predicts the value at another size. Superlinear metrics are extrapolated from the last size by the larger
+    /// exponent, and falling ones by the exponent over all sizes; all others by the line.
     pub fn predict(&self, size: f64) -> f64 {
         let (last_size, last_median) = self.last;
         let from_last = |exponent: f64| last_median * (size / last_size).powf(exponent);
@@ -101,7 +104,7 @@
     }
 }
 
-/// Experiments have several sizes, so that there is a fit.
+/// Fits a line. Experiments have several sizes, so a fit always exists.
 fn least_squares(points: &[(f64, f64)]) -> LeastSquares {
     LeastSquares::through(points).unwrap_or_default()
 }
@@ -113,7 +116,7 @@
         .map(|value| (sample.size.ln(), logarithm(*value)))
 }
 
-/// Of 0 and less there is none.
+/// Natural logarithm; NaN for values of 0 and less.
 fn logarithm(value: f64) -> f64 {
     if value > 0.0 {
         value.ln()
@@ -122,10 +125,11 @@
     }
 }
 
-/// Exponents between the two largest sizes; not numbers where a value has no logarithm.
+/// Exponents between the two largest sizes; NaN if a value has no logarithm.
 struct LastExponents {
+    /// Exponent between the medians.
     by_medians: f64,
-    /// The least that the spread of the values allows.
+    /// Smallest exponent that the spread of the values allows.
     least: f64,
 }
 
--- a/crates/scale/src/slopes/regression/tests.rs
+++ b/crates/scale/src/slopes/regression/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn growth_by_a_power_is_flagged_and_predicted_by_it() {
+fn power_law_growth_is_superlinear_and_predicted_by_its_exponent() {
     let regression = Regression::new(&samples(|size| 2e-4 * size.powf(1.7)));
     assert!(
         regression.superlinear && (regression.exponent - 1.7).abs() < 1e-6,
@@ -35,9 +35,9 @@
     assert!((regression.predict(6500.0) / true_value - 1.0).abs() < 0.01);
 }
 
-/// Over all sizes the constant part hides it; the two largest show it.
+/// The constant part hides the growth in the exponent over all sizes; the exponent of the two largest sizes shows it.
 #[test]
-fn a_square_behind_a_large_intercept_is_flagged() {
+fn quadratic_growth_with_a_large_intercept_is_superlinear() {
     let regression = Regression::new(&samples(|size| 100.0 + 0.001 * size * size));
     assert!(
         regression.exponent < MAX_LINEAR_EXPONENT && regression.superlinear,
@@ -46,15 +46,15 @@
 }
 
 #[test]
-fn what_is_linear_or_flat_within_its_spread_is_not_flagged() {
+fn linear_or_constant_values_are_not_superlinear() {
     assert!(!Regression::new(&samples(|size| size * (1.0 + 0.02 * size.sin()))).superlinear);
     assert!(!Regression::new(&samples(|_| 18.0)).superlinear);
     assert!(!Regression::new(&samples(|_| 0.0)).superlinear);
 }
 
-/// A constant part that is shared out: holders of an engine, work for each.
+/// A constant total divided by the size, such as the holders of an engine or the work of each gateway.
 #[test]
-fn what_falls_is_predicted_by_its_power() {
+fn falling_values_are_predicted_by_their_exponent() {
     let regression = Regression::new(&samples(|size| 350_000.0 / size));
     assert!(
         !regression.superlinear && (regression.exponent + 1.0).abs() < 1e-6,
@@ -63,9 +63,9 @@
     assert!((regression.predict(6500.0) / (350_000.0 / 6500.0) - 1.0).abs() < 0.01);
 }
 
-/// A last step of a tenth over a line, which is noise where nothing was measured twice.
+/// The last value lies a tenth above the line, which counts as noise if each size was measured once.
 #[test]
-fn the_last_step_of_single_runs_flags_nothing() {
+fn a_high_last_value_of_single_runs_is_not_superlinear() {
     let value = |size: f64| if size == 1024.0 { size * 1.1 } else { size };
     let single: Vec<Sample> = SIZES
         .iter()
@@ -78,9 +78,9 @@
     );
 }
 
-/// Zeros have no power law; the line stands.
+/// Zeros have no logarithm, so there is no power law and the line is used.
 #[test]
-fn values_of_zero_flag_nothing() {
+fn values_of_zero_are_not_superlinear() {
     let regression = Regression::new(&samples(|size| (size - 320.0).max(0.0)));
     assert!(
         regression.exponent.is_nan() && !regression.superlinear,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn medians_and_spread_are_those_of_the_values() {
+fn a_sample_reports_its_least_median_and_largest_value() {
     let odd = Sample::new(1.0, vec![3.0, 1.0, 2.0]);
     assert_eq!((odd.least(), odd.median(), odd.most()), (1.0, 2.0, 3.0));
     assert_eq!(Sample::new(1.0, vec![4.0, 1.0]).median(), 2.5);
--- a/crates/scale/src/slopes/report.rs
+++ b/crates/scale/src/slopes/report.rs
@@ -1,11 +1,11 @@
-//! What is printed: tables in Markdown, as the pages quote them.
+//! Renders results as Markdown tables, which the documentation quotes.
 
 use super::metric::Metric;
 use super::quantities::Quantity;
 use super::regression::{Regression, Sample};
 use serde::Serialize;
 
-/// A metric over all sizes, with its fit and the check outside of the fitted range.
+/// Values of a metric at all sizes, with the fit and the measurement outside the fitted range.
 pub struct Series {
     pub metric: Metric,
     pub samples: Vec<Sample>,
@@ -13,13 +13,13 @@
     pub predicted: Option<Prediction>,
 }
 
-/// What the fit said of a size, and what was measured there.
+/// Value that the fit predicts for a size, and the values measured at that size.
 pub struct Prediction {
     pub value: f64,
     pub measured: Sample,
 }
 
-/// A measured value, as a row of the results.
+/// A measured value as a row of the results file.
 #[derive(Serialize)]
 pub struct ValueRow {
     pub role: &'static str,
@@ -32,7 +32,7 @@
 }
 
 impl Series {
-    /// The medians at all sizes, each with the spread.
+    /// Renders the median, the smallest and the largest value at each size.
     pub fn table(&self, quantity: Quantity) -> String {
         let mut table = format!(
             "| {} | {} | min | max |\n|---|---|---|---|\n",
@@ -53,7 +53,8 @@
         table
     }
 
-    /// One row: slope, intercept, exponents, residual, and the prediction beside the measured value.
+    /// Renders one row of the table of fits: slope, intercept, exponents, residual, and the measured value relative to
+    /// its prediction.
     pub fn regression_row(&self) -> String {
         let Regression {
             slope,
@@ -92,7 +93,7 @@
     }
 }
 
-/// The head of the table of fits.
+/// Renders the header of the table of fits.
 pub fn regression_header(predict: Option<u64>) -> String {
     let outside = predict.map_or_else(String::new, |size| {
         format!("measured / predicted at {size}")
@@ -103,7 +104,7 @@
     )
 }
 
-/// Three digits that count.
+/// Formats a number with about three significant digits.
 pub fn number(value: f64) -> String {
     let size = value.abs();
     match size {
--- a/crates/scale/src/slopes/role_name.rs
+++ b/crates/scale/src/slopes/role_name.rs
@@ -1,29 +1,29 @@
-//! The roles by their names in an experiment.
+//! Names of the roles in experiment files and results.
 
 use serde::{Deserialize, Serialize};
 
-/// The part of the program that is measured.
+/// A part of the program that can be measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RoleName {
-    /// Decisions of the module, fed with queries in simulated time.
+    /// The decision module, fed with queries in simulated time.
     Module,
-    /// The endpoint list as the gateway decodes it and passes it to the module.
+    /// The endpoint list, as the gateway decodes it and passes it to the module.
     List,
     /// The catalog and the choice of a subset.
     Subset,
-    /// Membership, all members in one process in simulated time.
+    /// Membership, with all members in one process and simulated time.
     Membership,
     /// The ledger of open attempts.
     Ledger,
-    /// A configuration file that is read and checked.
+    /// Reading and checking of a configuration file.
     Configuration,
     /// A lease issuer.
     Leases,
 }
 
 impl RoleName {
-    /// Its name in tables and results.
+    /// Name of the role in tables and results.
     pub fn label(self) -> &'static str {
         match self {
             RoleName::Module => "module",
--- a/crates/scale/src/slopes/roles/configuration.rs
+++ b/crates/scale/src/slopes/roles/configuration.rs
@@ -1,4 +1,4 @@
-//! The role of a configuration that is read and checked, as at a start and at a reload.
+//! Role `configuration`: reads and checks a configuration file, as a gateway does at start and on reload.
 
 use super::pool::{kind_name, log_event, whole_list, zone_name, KIND_CORES, ZONES};
 use super::stopwatch::{growth, timed};
@@ -9,7 +9,7 @@
 use serde_json::json;
 use std::path::PathBuf;
 
-/// Reads and checks a configuration with a list of engines.
+/// Measures the reading and checking of a configuration with a list of engines.
 pub struct Configuration;
 
 impl Role for Configuration {
@@ -33,7 +33,7 @@
     }
 }
 
-/// A gateway's configuration with so many engines under `known`, as text.
+/// Renders a gateway's configuration with `engines` engines under `known`.
 fn configuration(engines: u64) -> String {
     let nothing = log_event(2, false, std::iter::empty());
     let known = format!(
@@ -57,7 +57,7 @@
     )
 }
 
-/// A file that is deleted once it is dropped.
+/// A file that is deleted when this is dropped.
 struct TemporaryFile {
     path: PathBuf,
 }
@@ -75,7 +75,7 @@
 
 impl Drop for TemporaryFile {
     fn drop(&mut self) {
-        // It may have been deleted already.
+        // The file may have been deleted already.
         let _ = std::fs::remove_file(&self.path);
     }
 }
--- a/crates/scale/src/slopes/roles/gateway_list.rs
+++ b/crates/scale/src/slopes/roles/gateway_list.rs
@@ -1,4 +1,4 @@
-//! Adapter to the gateway's own endpoint list.
+//! Adapter to the gateway's implementation of the endpoint list.
 
 use super::pool::{kind_name, subset_settings, zone_name, KIND_CORES, ZONES};
 use crate::slopes::quantities::Quantities;
@@ -8,21 +8,21 @@
 use garnetwall_settings::Names;
 use std::time::Duration;
 
-/// A removed engine is remembered for so long, for queries that still use it.
+/// Time for which a removed engine is kept, for queries that still use it.
 const REMOVED_ENGINE_RETENTION: Duration = Duration::from_secs(22);
 
-/// A gateway's endpoint list, with the names that its entries use.
+/// A gateway's endpoint list, with the index of the names that its entries use.
 pub struct GatewayList {
     names: NameIndex,
     list: EngineList,
 }
 
 impl GatewayList {
-    /// The list of a gateway that works with all engines, or with a subset where a size is set.
+    /// Creates the list of a gateway that uses all engines, or a subset if `subset_size` is not 0.
     ///
     /// # Errors
     ///
-    /// Where the settings of the subset can't be used.
+    /// The settings of the subset can't be used.
     pub fn new(quantities: &Quantities) -> Result<Self, RoleError> {
         let names = Names {
             zones: (0..ZONES).map(zone_name).collect(),
@@ -52,13 +52,13 @@
     ///
     /// # Errors
     ///
-    /// Where it is no event.
+    /// The text is not an event.
     pub fn decode(&self, text: &str) -> Result<Event, RoleError> {
         event_of_text(text.as_bytes(), &self.names)
             .map_err(|error| RoleError::Data(error.to_string()))
     }
 
-    /// Applies an event; returns the number of endpoint updates for the module.
+    /// Applies an event and returns the number of endpoint updates for the module.
     pub fn apply(&self, event: Event) -> usize {
         self.list.apply(event).updates.len()
     }
--- a/crates/scale/src/slopes/roles/leases.rs
+++ b/crates/scale/src/slopes/roles/leases.rs
@@ -1,4 +1,4 @@
-//! The role of a lease issuer: members renew what they have.
+//! Role `leases`: a lease issuer whose members renew their leases.
 
 use super::stopwatch::{growth, repeated};
 use crate::slopes::measurement::{Measured, Point};
@@ -9,12 +9,12 @@
 };
 use std::time::Duration;
 
-/// A lease of two seconds, renewed each quarter of it.
+/// Length of a lease at the issuer; the holders' term is slightly shorter and is renewed four times.
 const LEASE_LENGTH: Duration = Duration::from_secs(2);
 const TERM_LENGTH: Duration = Duration::from_millis(1990);
 const RENEWALS_PER_TERM: u64 = 4;
 const ISSUERS: usize = 3;
-/// Leases that the issuer may store.
+/// Number of leases that the issuer may store.
 const MAX_LEASES: usize = 100_000;
 
 /// Measures the lease issuer.
@@ -43,7 +43,7 @@
                 "{refused} of {members} members were refused a lease"
             )));
         }
-        // Renewals of all members in turn, evenly over a quarter of the term.
+        // All members renew in turn, evenly spread over a quarter of the term.
         let step = TERM_LENGTH.as_nanos() as u64 / RENEWALS_PER_TERM / members;
         let renewal = repeated(|repeat| {
             let now = begin + Duration::from_nanos(step * repeat);
@@ -59,9 +59,9 @@
     }
 }
 
-/// A member's request: to renew its membership, and at first to claim one lease.
+/// Creates a member's request, which renews its membership and, with `claims`, claims one lease.
 fn lease_request(member: u64, number: u32, claims: bool) -> LeaseRequest {
-    /// After any that the issuer's start rules out.
+    /// Later than any epoch that the issuer rules out at its start.
     const FIRST_EPOCH: Epoch = Epoch(1 << 40);
     let claim = Claim {
         resource: Resource(member),
--- a/crates/scale/src/slopes/roles/ledger.rs
+++ b/crates/scale/src/slopes/roles/ledger.rs
@@ -1,4 +1,4 @@
-//! The role of the ledger of open attempts.
+//! Role `ledger`: the ledger of open attempts.
 
 use super::stopwatch::{growth, repeated};
 use crate::slopes::measurement::{Measured, Point};
@@ -10,7 +10,7 @@
 use std::hint::black_box;
 use std::time::Duration;
 
-/// As in the gateway.
+/// Limits of the protocol, as in the gateway.
 const PROTOCOL_LIMITS: ProtocolLimits = ProtocolLimits {
     long_poll: Duration::from_millis(250),
     progress_events: ProgressEvents::NotSent,
@@ -18,7 +18,7 @@
     cancel_pause: Duration::from_millis(50),
 };
 
-/// Measures a ledger with so many open attempts.
+/// Measures a ledger with `open_attempts` open attempts.
 pub struct OpenAttempts;
 
 impl Role for OpenAttempts {
@@ -30,7 +30,7 @@
             let attempts: Vec<AttemptId> = (0..open).map(|_| begin(&mut ledger, now)).collect();
             (ledger, attempts)
         })?;
-        // One ends and another begins, so that as many stay open.
+        // One attempt ends and another begins, so that the number of open attempts stays constant.
         let attempt = repeated(|repeat| {
             let slot = &mut attempts[(repeat % open) as usize];
             ledger.record(now, *slot, Evidence::Ended);
@@ -45,6 +45,7 @@
     }
 }
 
+/// Opens an attempt and records that it runs.
 fn begin(ledger: &mut Ledger, now: Duration) -> AttemptId {
     let attempt = ledger.open(now, Duration::ZERO);
     ledger.record(now, attempt, Evidence::RequestSent);
--- a/crates/scale/src/slopes/roles/list.rs
+++ b/crates/scale/src/slopes/roles/list.rs
@@ -1,4 +1,4 @@
-//! The role of the list of engines in a gateway: decode and apply.
+//! Role `list`: a gateway's decoding and application of the endpoint list.
 
 use super::gateway_list::GatewayList;
 use super::pool;
@@ -7,7 +7,7 @@
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
 
-/// Repeated whole lists, and changed entries, in one run.
+/// Numbers of repeated whole lists and of changed entries in one measurement.
 const WHOLE_LISTS: usize = 8;
 const CHANGED_ENTRIES: usize = 8192;
 
@@ -20,7 +20,7 @@
         let text = pool::whole_list(engines);
         let changed = engine_changes(engines);
         let list = GatewayList::new(&point.quantities)?;
-        // The event is dropped once it was applied, as in the gateway.
+        // The event is dropped once it has been applied, as in the gateway.
         let (resident, times) = growth(|| first_list(&list, &text))?;
         let (decode_list, first_list) = times?;
         let whole = list.decode(&text)?;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Processor time of the first whole list: decoding and applying it.
+/// Decodes and applies the first whole list. Returns the processor time of each, in microseconds.
 fn first_list(list: &GatewayList, text: &str) -> Result<(f64, f64), RoleError> {
     let (decode, event) = timed(|| list.decode(text));
     let event = event?;
@@ -59,7 +59,7 @@
     Ok((decode, apply))
 }
 
-/// Events that each change one entry, spread over the list: engines drain, and serve again.
+/// Renders events that each change one entry, spread over the list: engines drain, and serve again.
 fn engine_changes(engines: u64) -> Vec<String> {
     const CHANGES: u64 = 64;
     let change = |number: u64| {
--- a/crates/scale/src/slopes/roles/membership.rs
+++ b/crates/scale/src/slopes/roles/membership.rs
@@ -1,4 +1,4 @@
-//! The role of membership: all members in one process, in simulated time, over a network that may lose messages.
+//! Role `membership`: all members in one process and simulated time, over a network that may lose messages.
 
 use super::stopwatch::{growth, timed};
 use crate::slopes::measurement::{Measured, Point};
@@ -13,24 +13,24 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The step of simulated time.
+/// Step of simulated time.
 const STEP_MS: u64 = 10;
-/// Each member's timers are checked at least this often.
+/// Maximum time between two checks of a member's timers.
 const TIMER_CHECK_INTERVAL_MS: u64 = 100;
-/// A message takes 1 to this many milliseconds.
+/// Maximum latency of a message; the minimum is 1 ms.
 const MAX_LATENCY_MS: u64 = 20;
-/// Members that a new one contacts to join.
+/// Number of members that a new member contacts to join.
 const CONTACTS: usize = 3;
 const PORT: u16 = 7946;
 
-/// Measures members that exchange messages.
+/// Measures members that exchange messages over a simulated network.
 pub struct Membership;
 
 impl Role for Membership {
     fn measure(&self, point: &Point) -> Result<Vec<Measured>, RoleError> {
         let members = point.quantities.members as usize;
         let span = (point.quantities.seconds * 1000.0) as u64;
-        // Members discover each other first.
+        // The members discover each other before the measurement.
         let settling = (point.quantities.settling * 1000.0) as u64;
         let (resident, mut network) = growth(|| {
             let mut network = Network::start(members, point.quantities.loss, point.seed);
@@ -49,18 +49,21 @@
     }
 }
 
-/// A datagram in transit, ordered by its arrival.
+/// A datagram in transit. Ordered by arrival.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Datagram {
+    /// Time of arrival, in simulated milliseconds.
     due: u64,
     sequence: u64,
     to: usize,
     bytes: Vec<u8>,
 }
 
+/// Simulated network with its members.
 struct Network {
-    /// Milliseconds.
+    /// Simulated milliseconds since the start.
     now: u64,
+    /// Percent of datagrams.
     loss: u64,
     rng: SmallRng,
     wire: DatagramCodec,
@@ -68,6 +71,7 @@
     by_address: HashMap<SocketAddrV4, usize>,
     in_transit: BinaryHeap<Reverse<Datagram>>,
     sequence: u64,
+    /// Bytes sent by all members, lost datagrams included.
     bytes_out: u64,
 }
 
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Runs the network for so many milliseconds.
+    /// Advances the simulation by `span` milliseconds.
     fn advance(&mut self, span: u64) {
         let end = self.now + span;
         while self.now < end {
@@ -130,12 +134,13 @@
                 return;
             };
             if let Ok(Message::Swim(bytes)) = self.wire.decode(&datagram.bytes) {
-                // A datagram that can't be used is dropped, as on a socket.
+                // An unusable datagram is dropped, as on a socket.
                 let _ = self.members[datagram.to].receive(now, &bytes);
             }
         }
     }
 
+    /// Runs a member's timers and puts its outgoing datagrams in transit.
     fn run_member(&mut self, member: usize) {
         let now = Duration::from_millis(self.now);
         let running = &mut self.members[member];
--- a/crates/scale/src/slopes/roles/mod.rs
+++ b/crates/scale/src/slopes/roles/mod.rs
@@ -1,4 +1,4 @@
-//! The parts of the program that can be measured, a file or folder for each, and what they share.
+//! The roles, one file or folder for each, and their shared parts.
 
 mod configuration;
 mod gateway_list;
@@ -14,7 +14,7 @@
 use super::role::Role;
 use super::role_name::RoleName;
 
-/// The role of this name.
+/// Returns the role of a name.
 pub fn role(name: RoleName) -> &'static dyn Role {
     match name {
         RoleName::Module => &module::Module,
--- a/crates/scale/src/slopes/roles/module/engines.rs
+++ b/crates/scale/src/slopes/roles/module/engines.rs
@@ -1,4 +1,4 @@
-//! The module's endpoints: the whole list, or the members of a subset under indices of their own.
+//! Endpoints for the module: those of the whole list, or those of a subset's members, which have indices of their own.
 
 use crate::slopes::quantities::Quantities;
 use crate::slopes::role::RoleError;
@@ -8,30 +8,32 @@
 use garnetwall_subset::{Action, EngineKey, UpdateScope};
 use std::collections::HashMap;
 
-/// Translates the list into endpoints for the module.
+/// Translates the endpoint list into endpoints for the module.
 pub struct ListedEngines {
     engines: u64,
     subset: Option<Members>,
 }
 
-/// Endpoint updates for the module.
+/// An update of the module's endpoints.
 pub struct EndpointUpdates {
     pub endpoints: Vec<Endpoint>,
     pub scope: ListScope,
 }
 
-/// A subset, and the module's indices of its members.
+/// A subset and the indices of its members in the module.
 struct Members {
     chosen: SettledSubset,
     indices: HashMap<EngineKey, EngineId>,
-    /// Indices of engines that have left.
+    /// Indices of members that have left, for reuse.
     free: Vec<EngineId>,
 }
 
 impl ListedEngines {
+    /// Creates the list. If `subset_size` is not 0, chooses a subset of that size.
+    ///
     /// # Errors
     ///
-    /// Where the settings of the subset can't be used.
+    /// The settings of the subset can't be used.
     pub fn new(quantities: &Quantities) -> Result<Self, RoleError> {
         let Quantities {
             engines,
@@ -46,7 +48,7 @@
         Ok(ListedEngines { engines, subset })
     }
 
-    /// All endpoints of the module.
+    /// Returns all endpoints of the module.
     pub fn whole(&mut self) -> Vec<Endpoint> {
         match self.subset.as_mut() {
             None => (0..self.engines)
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Applies the whole list again, unchanged.
+    /// Applies the unchanged whole list again and returns the update for the module.
     pub fn apply_whole_list_again(&mut self) -> EndpointUpdates {
         match self.subset.as_mut() {
             None => EndpointUpdates {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Applies one changed entry; returns the module's endpoint updates.
+    /// Applies one changed entry and returns the endpoint updates for the module.
     pub fn change(&mut self, repeat: u64) -> Vec<Endpoint> {
         let changed_engine = changed(self.engines, repeat);
         match self.subset.as_mut() {
@@ -91,7 +93,7 @@
     }
 }
 
-/// The module's endpoint for an entry of the catalog, where engines are indexed by their numbers.
+/// Returns the module's endpoint for a listed engine, whose index is its number in the pool.
 fn endpoint_of_listed(changed: &garnetwall_subset::ListedEngine) -> Endpoint {
     let number = changed
         .engine_id
@@ -142,7 +144,7 @@
         self.chosen.subset.members().filter_map(endpoint).collect()
     }
 
-    /// The module's endpoint updates for the subset's actions.
+    /// Carries out the subset's actions and returns the endpoint updates for the module.
     fn carry_out(&mut self, actions: &[Action]) -> Vec<Endpoint> {
         actions
             .iter()
@@ -169,6 +171,7 @@
         }
     }
 
+    /// Returns the index of a member, a new one if the engine has none.
     fn index(&mut self, engine: EngineKey) -> EngineId {
         if let Some(index) = self.indices.get(&engine) {
             return *index;
@@ -199,7 +202,7 @@
     }
 }
 
-/// The endpoint of an engine that is no longer in the catalog.
+/// Returns the removed endpoint of an engine that is no longer in the catalog.
 fn endpoint_of_unknown(index: EngineId) -> Endpoint {
     endpoint(
         PoolEngine {
--- a/crates/scale/src/slopes/roles/module/mod.rs
+++ b/crates/scale/src/slopes/roles/module/mod.rs
@@ -1,4 +1,4 @@
-//! The role of the decision module: one gateway's module, fed with queries in simulated time.
+//! Role `module`: the decision module of one gateway, fed with queries in simulated time.
 
 mod engines;
 mod simulation;
@@ -11,7 +11,7 @@
 use engines::ListedEngines;
 use simulation::Simulation;
 
-/// Measures one gateway's decision module.
+/// Measures the decision module of one gateway.
 pub struct Module;
 
 impl Role for Module {
@@ -21,7 +21,7 @@
         let settings = workload::settings(quantities);
         let (resident, (first_list, mut simulation)) =
             growth(|| timed(|| Simulation::new(point, settings, engines)))?;
-        // The module learns its engines' load first.
+        // The module learns the load of its engines before the measurement.
         simulation.run(quantities.settling);
         let (admitted_before, placements_before) =
             (simulation.queries_admitted, simulation.placements);
--- a/crates/scale/src/slopes/roles/module/simulation.rs
+++ b/crates/scale/src/slopes/roles/module/simulation.rs
@@ -1,5 +1,5 @@
-//! Queries, answers and the module's timer, in simulated time. The simulation's own processor time is measured with the
-//! module's: a heap of the queries in flight, and a few random numbers a query.
+//! Simulates queries, answers and the module's timer in simulated time. The measured processor time includes that of
+//! the simulation itself: a heap of the queries in flight, and a few random numbers per query.
 
 use super::engines::{EndpointUpdates, ListedEngines};
 use super::workload::{query, THREADS};
@@ -16,27 +16,29 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The simulated clock starts here, as one that has run for a while.
+/// Start of the simulated clock, as of one that has run for a while.
 const START_SECONDS: f64 = 1000.0;
 const SECONDS_PER_MICROSECOND: f64 = 1e-6;
-/// Utilisation that engines report.
+/// Range of the utilisation that engines report.
 const UTILISATION: std::ops::Range<f64> = 0.4..0.65;
-/// Answers take so many times the work over its threads.
+/// Range of the ratio of an answer's latency to the query's work per thread.
 const SLOWDOWN: std::ops::Range<f64> = 1.0..1.3;
-/// With a larger share of rejected queries the load is not the one to be measured.
+/// Maximum share of rejected queries. With a larger share, the measured load is not that of the experiment.
 const MAX_REJECTED_SHARE: f64 = 0.05;
 
-/// Something due, the earliest first.
+/// A scheduled event. Ordered by time, the earliest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Event {
-    /// Microseconds.
+    /// Time of the event, in simulated microseconds.
     due: u64,
+    /// Order of events at the same time.
     sequence: u64,
     kind: EventKind,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EventKind {
+    /// A client sends a query.
     Arrival,
     Answer {
         query: QueryId,
@@ -44,32 +46,35 @@
         started_at: u64,
         work_nanoseconds: u64,
     },
+    /// An entry of the list changes.
     Change,
 }
 
-/// One decision module with its queries and engines in simulated time.
+/// A decision module with its queries and engines in simulated time.
 pub struct Simulation {
     controller: AdmissionController,
     engines: ListedEngines,
+    /// Number of endpoints that the module started with.
     engines_listed: usize,
     quantities: Quantities,
     rng: SmallRng,
     events: BinaryHeap<Reverse<Event>>,
     sequence: u64,
-    /// Microseconds.
+    /// Simulated time, in microseconds.
     now: u64,
-    /// When the module's next decision is due, in microseconds.
+    /// Time of the module's next decision, in simulated microseconds.
     wake: u64,
+    /// Number of changed entries so far.
     changes: u64,
-    /// Classes of the queries in flight, by their ids in a ring.
+    /// Query class of each query in flight, by its id.
     classes: Vec<usize>,
     pub queries_admitted: u64,
-    /// Placement decisions of the module.
+    /// Number of placement decisions of the module.
     pub placements: u64,
     queries_rejected: u64,
 }
 
-/// Ids are reused after so many; far more than are in flight at once.
+/// Number of query ids, which are then reused; far more than the queries in flight at once.
 const QUERY_ID_RING: usize = 1 << 16;
 
 fn micros(seconds: f64) -> u64 {
@@ -108,7 +113,7 @@
         self.engines_listed
     }
 
-    /// Runs the simulation for so many seconds.
+    /// Advances the simulation by `seconds` simulated seconds.
     pub fn run(&mut self, seconds: f64) {
         let end = self.now + micros(seconds);
         loop {
@@ -129,21 +134,23 @@
         }
     }
 
+    /// Checks that the simulated load was that of the experiment.
+    ///
     /// # Errors
     ///
-    /// Where too many queries were rejected: what was measured is not the load of the experiment.
+    /// More than [`MAX_REJECTED_SHARE`] of the queries were rejected.
     pub fn check(&self) -> Result<(), RoleError> {
         let rejected = self.queries_rejected as f64 / self.queries_admitted.max(1) as f64;
         match rejected <= MAX_REJECTED_SHARE {
             true => Ok(()),
             false => Err(RoleError::Data(format!(
-                "{} of {} queries were rejected: lower fixed.work or queries-per-second",
+                "{} of {} queries were rejected; lower fixed.work or queries-per-second",
                 self.queries_rejected, self.queries_admitted
             ))),
         }
     }
 
-    /// Applies the whole list again, unchanged.
+    /// Applies the unchanged whole list again.
     pub fn update_whole_list(&mut self) {
         let EndpointUpdates { endpoints, scope } = self.engines.apply_whole_list_again();
         self.controller.update_endpoints(&endpoints, scope);
@@ -171,7 +178,7 @@
         }));
     }
 
-    /// Schedules the next event of a Poisson process.
+    /// Schedules the next event of a Poisson process with a rate of `per_second`.
     fn schedule_next(&mut self, kind: EventKind, per_second: u64) {
         let even: f64 = self.rng.random();
         let gap = -(1.0 - even).ln() / per_second as f64;
@@ -231,7 +238,7 @@
         self.controller.attempt_ended(now, query, outcome);
     }
 
-    /// Carries out the module's decisions until nothing more is due.
+    /// Carries out the module's decisions until none is due.
     fn decide(&mut self) {
         let now = self.seconds();
         loop {
--- a/crates/scale/src/slopes/roles/module/workload.rs
+++ b/crates/scale/src/slopes/roles/module/workload.rs
@@ -1,4 +1,4 @@
-//! The module's workload: query classes, and random queries.
+//! Workload of the module: query classes and random queries.
 
 use crate::slopes::quantities::Quantities;
 use crate::slopes::roles::pool::KIND_CORES;
@@ -8,18 +8,18 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 
-/// Tenants, over which queries are spread evenly.
+/// Number of tenants, over which queries are spread evenly.
 pub const TENANTS: usize = 4;
-/// Threads of a query, by its class.
+/// Threads of a query, by its query class.
 pub const THREADS: [f64; 2] = [1.0, 2.0];
-/// The class whose queries have keys, where there are any.
+/// Query class whose queries have ordering keys if the point has any.
 const KEYED_CLASS: usize = 1;
-/// Estimates lie within this part of the work.
+/// Largest relative error of a query's estimated work.
 const ESTIMATE_ERROR: f64 = 0.3;
 const LATENCY_OBJECTIVE_SECONDS: f64 = 1.0;
 const DEADLINE_SECONDS: f64 = 5.0;
 
-/// Two classes, load reports with answers, slow start.
+/// Settings of the module: two query classes, load reports with answers, and slow start.
 pub fn settings(quantities: &Quantities) -> Settings {
     let keyed = |index: usize| index == KEYED_CLASS && quantities.keys > 0;
     let classes = THREADS
@@ -67,7 +67,7 @@
     }
 }
 
-/// A random query.
+/// Draws a random query.
 pub fn query(id: QueryId, quantities: &Quantities, rng: &mut SmallRng) -> Query {
     let class = rng.random_range(0..THREADS.len());
     let keyed = class == KEYED_CLASS && quantities.keys > 0;
--- a/crates/scale/src/slopes/roles/pool.rs
+++ b/crates/scale/src/slopes/roles/pool.rs
@@ -1,18 +1,18 @@
-//! The pool of engines that all roles measure: zones, kinds and cells as at the target size.
+//! The pool of engines that all roles use, with zones, kinds and cells as at the target size.
 
 use garnetwall_subset::{
     EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, SubsetSettings,
 };
 use serde_json::{json, Value};
 
-/// At the target size.
+/// Number of zones at the target size.
 pub const ZONES: u64 = 21;
-/// Cores of an engine by its kind.
+/// Cores of an engine, by its kind.
 pub const KIND_CORES: [f64; 2] = [8.0, 16.0];
-/// Engines that share a cell.
+/// Number of engines that share a cell.
 const CELL_ENGINES: u64 = 20;
 
-/// One engine of the pool.
+/// An engine of the pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolEngine {
     pub number: u64,
@@ -21,7 +21,7 @@
     pub cell: u32,
 }
 
-/// The engine of this number.
+/// Returns the engine with a number.
 pub fn engine(number: u64) -> PoolEngine {
     let kind = (number / ZONES) as usize % KIND_CORES.len();
     PoolEngine {
@@ -37,7 +37,7 @@
         format!("engine-{:05}", self.number)
     }
 
-    /// The entry of a catalog.
+    /// Returns the engine's entry for a catalog.
     pub fn listed_engine(&self, state: ListedState) -> ListedEngine {
         let cores = KIND_CORES[self.kind];
         let kind = self.kind as u32;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The entry in the change log.
+    /// Returns the engine's entry in the change log.
     pub fn log_entry(&self, state: &str) -> Value {
         let [high, low] = (self.number as u16).to_be_bytes();
         json!({
@@ -70,17 +70,18 @@
     }
 }
 
-/// The name of a zone in settings and list entries.
+/// Returns the name of a zone in settings and list entries.
 pub fn zone_name(zone: u64) -> String {
     format!("zone-{zone:02}")
 }
 
-/// The name of a kind in settings and list entries.
+/// Returns the name of a kind in settings and list entries.
 pub fn kind_name(kind: usize) -> String {
     format!("kind-{kind}")
 }
 
-/// An event of the change log, as text. Written entry by entry, so that no free memory is left that would hide a measurement.
+/// Renders an event of the change log. Each entry is rendered and dropped in turn: memory freed in larger amounts would
+/// be reused by the measured work and so hide its growth.
 pub fn log_event(number: u64, whole: bool, servers: impl Iterator<Item = Value>) -> String {
     let mut text = format!(
         "{{\"seq\":{number},\"fleet\":{{\"version\":{number},\"full\":{whole},\"servers\":["
@@ -92,7 +93,7 @@
     text + "]}}"
 }
 
-/// The whole list as an event of the change log, as text.
+/// Renders the whole list as an event of the change log.
 pub fn whole_list(engines: u64) -> String {
     log_event(
         1,
@@ -101,7 +102,7 @@
     )
 }
 
-/// Settings of a subset for the query classes of the module's role.
+/// Returns the settings of a subset for the query classes of the role `module`.
 pub fn subset_settings(size: u64, gateways: u64) -> SubsetSettings {
     SubsetSettings {
         size: size as usize,
--- a/crates/scale/src/slopes/roles/stopwatch.rs
+++ b/crates/scale/src/slopes/roles/stopwatch.rs
@@ -1,23 +1,24 @@
-//! Processor time and memory of pieces of work.
+//! Measures the processor time and the memory growth of pieces of work.
 
 use crate::process;
 use std::hint::black_box;
 use std::io;
 use std::time::Duration;
 
-/// Short work is repeated for so long, since reading the clock takes a fraction of a microsecond.
+/// Time for which short work is repeated, since reading the clock takes a fraction of a microsecond.
 const MIN_MEASURED_TIME: Duration = Duration::from_millis(20);
-/// Upper bound of repeats.
+/// Maximum number of repeats.
 const MAX_REPEATS: u64 = 100_000;
 
-/// Processor time of a piece of work, in microseconds, and what it gave.
+/// Returns the processor time of `work`, in microseconds, and its result.
 pub fn timed<T>(work: impl FnOnce() -> T) -> (f64, T) {
     let before = process::processor_time();
     let result = work();
     (microseconds(process::processor_time() - before), result)
 }
 
-/// The mean processor time of a repeated piece of work, in microseconds. Its argument counts the repeats before.
+/// Repeats `work` and returns its mean processor time, in microseconds. The argument of `work` is the number of earlier
+/// repeats.
 pub fn repeated<T>(mut work: impl FnMut(u64) -> T) -> f64 {
     let before = process::processor_time();
     let mut repeats = 0;
@@ -31,7 +32,7 @@
     }
 }
 
-/// The mean processor time of a piece of work on each of some items, in microseconds, without making the items.
+/// Returns the mean processor time of `work` per item, in microseconds, without the time to create the items.
 pub fn each<I, T>(items: Vec<I>, mut work: impl FnMut(I) -> T) -> f64 {
     let count = items.len().max(1) as f64;
     let (spent, ()) = timed(|| {
@@ -42,11 +43,11 @@
     spent / count
 }
 
-/// Resident bytes that a piece of work added, and what it gave.
+/// Returns the growth of resident memory during `work`, in bytes, and the result of `work`.
 ///
 /// # Errors
 ///
-/// Where the system does not report it.
+/// The system does not report the resident memory.
 pub fn growth<T>(work: impl FnOnce() -> T) -> io::Result<(f64, T)> {
     let before = process::resident_bytes()?;
     let result = work();
--- a/crates/scale/src/slopes/roles/subset.rs
+++ b/crates/scale/src/slopes/roles/subset.rs
@@ -1,4 +1,4 @@
-//! The role of the catalog and the choice of a subset.
+//! Role `subset`: the catalog and the choice of a subset.
 
 use super::pool;
 use super::stopwatch::{growth, repeated, timed};
@@ -9,12 +9,12 @@
     Action, Catalog, ConnectOutcome, ListedEngine, ListedState, Subset, UpdateScope,
 };
 
-/// Subsets that share one catalog, so that a subset's memory is known apart from the catalog's.
+/// Number of additional subsets of one catalog, by which a subset's memory is measured apart from the catalog's.
 const ADDITIONAL_SUBSETS: usize = 200;
-/// Polls after which a subset counts as settled.
+/// Maximum number of polls after which a subset counts as settled.
 const MAX_POLLS: usize = 10_000;
 
-/// One gateway's subset and the catalog that it chooses from.
+/// One gateway's subset, and the catalog that it is chosen from.
 pub struct SettledSubset {
     pub catalog: Catalog,
     pub subset: Subset,
@@ -23,11 +23,11 @@
 }
 
 impl SettledSubset {
-    /// The subset of one gateway of a pool, settled.
+    /// Chooses the subset of one gateway from a pool and settles it.
     ///
     /// # Errors
     ///
-    /// Where its settings can't be used.
+    /// The settings of the subset can't be used.
     pub fn new(engines: u64, gateways: u64, size: u64) -> Result<Self, RoleError> {
         let listed = listed_engines(engines);
         let mut catalog = Catalog::default();
@@ -43,14 +43,15 @@
         Ok(chosen)
     }
 
-    /// Applies entries of the list and settles; returns the subset's actions.
+    /// Applies entries of the list, settles, and returns the subset's actions.
     pub fn apply(&mut self, listed: &[ListedEngine], scope: UpdateScope) -> Vec<Action> {
         let changes = self.catalog.apply(listed, scope);
         self.subset.changed(self.now, &self.catalog, &changes);
         self.settle()
     }
 
-    /// Polls until nothing is due any more, with each connection up at once.
+    /// Polls the subset until nothing is due, or [`MAX_POLLS`] times. Every connection succeeds at once. Returns the
+    /// subset's actions.
     fn settle(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         for _ in 0..MAX_POLLS {
@@ -71,7 +72,7 @@
     }
 }
 
-/// All engines of a pool, ready.
+/// Returns the entries of all engines of a pool, all ready.
 pub fn listed_engines(engines: u64) -> Vec<ListedEngine> {
     (0..engines)
         .map(|number| pool::engine(number).listed_engine(ListedState::Ready))
@@ -120,9 +121,9 @@
     }
 }
 
-/// A changed entry: engines spread over the pool drain in turn, and are ready again.
+/// Returns a changed entry: engines spread over the pool drain in turn, and become ready again.
 pub fn changed(engines: u64, repeat: u64) -> ListedEngine {
-    /// A prime, so that all engines come up in turn.
+    /// A prime, so that each engine has its turn.
     const STRIDE: u64 = 7919;
     let state = if repeat.is_multiple_of(2) {
         ListedState::Draining
@@ -132,6 +133,7 @@
     pool::engine(repeat / 2 * STRIDE % engines).listed_engine(state)
 }
 
+/// Chooses the subsets of [`ADDITIONAL_SUBSETS`] further gateways from the catalog.
 fn additional_subsets(catalog: &Catalog, gateways: u64, size: u64) -> Vec<Subset> {
     let all = |(engine, _, facts)| garnetwall_subset::Change {
         engine,
--- a/crates/scale/src/slopes/runner.rs
+++ b/crates/scale/src/slopes/runner.rs
@@ -1,4 +1,4 @@
-//! Measures points, each in a process of its own: memory that one point leaves behind is not another's.
+//! Measures each point in a fresh process, so that memory left by one point does not affect another.
 
 use super::measurement::{Measured, Point};
 use std::io;
@@ -9,17 +9,15 @@
 use tokio::process::{Child, Command};
 use tokio::signal::unix::{signal, SignalKind};
 
-/// The hidden command that measures one point.
+/// Hidden subcommand that measures one point.
 const COMMAND: &str = "slope-point";
 
-/// Why a point has no values.
+/// Failure to measure a point.
 #[derive(Debug, Error)]
 pub enum RunnerError {
-    #[error("the measuring process: {0}; check that this program may start itself")]
+    #[error("can't run the measuring process: {0}; check that this program may start itself")]
     Process(#[from] io::Error),
-    #[error(
-        "the measuring process wrote what is no measurement: {0}; this is a fault of the tool"
-    )]
+    #[error("the measuring process did not write a measurement: {0}; this is a fault of the tool")]
     Answer(#[from] serde_json::Error),
     #[error("the measuring process failed: {0}")]
     Failed(String),
@@ -29,16 +27,19 @@
     Stopped,
 }
 
-/// Starts measuring processes, which end with it.
+/// Runs measuring processes, which are killed when their measurement is cancelled.
 pub struct Runner {
     runtime: tokio::runtime::Runtime,
+    /// Timeout for one point.
     limit: Duration,
 }
 
 impl Runner {
+    /// Creates a runner with a timeout for each point.
+    ///
     /// # Errors
     ///
-    /// Where no runtime can be had.
+    /// The async runtime can't be created.
     pub fn new(limit: Duration) -> Result<Self, RunnerError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -50,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// Where the process fails, takes too long, or this one is stopped by a signal.
+    /// The measuring process fails or exceeds the timeout, or a signal stops this process.
     pub fn measure(&self, point: &Point) -> Result<Vec<Measured>, RunnerError> {
         self.runtime.block_on(async {
             let mut interrupted = signal(SignalKind::interrupt())?;
