--- a/crates/scale/src/real_processes/tests.rs
+++ b/crates/scale/src/real_processes/tests.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_run_by_the_rules_passes() {
+fn a_run_that_follows_the_rules_passes() {
     let queries = vec![
         query(1, QueryClass::Load, 0.0, 0.3),
         query(2, QueryClass::Load, 0.1, 0.9),
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_answer_later_than_its_limit_on_sockets_is_found() {
+fn an_answer_later_than_its_limit_and_the_socket_allowance_is_found() {
     let on_time = observations(
         vec![query(1, QueryClass::Report, 0.0, 3.04)],
         vec![attempt(1, 0.1, 0.2)],
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn queries_of_a_key_that_run_together_or_in_the_wrong_order_are_found() {
+fn queries_of_a_key_that_overlap_or_run_in_the_wrong_order_are_found() {
     let queries = vec![
         query(1, QueryClass::Load, 0.0, 0.9),
         query(2, QueryClass::Load, 0.1, 0.9),
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_change_that_too_few_watchers_saw_was_not_seen() {
+fn a_change_is_seen_only_after_99_in_100_watchers_received_it() {
     let mut change = ChangeSeen {
         number: 2,
         appended: 0.0,
@@ -206,14 +206,14 @@
 }
 
 #[test]
-fn an_address_names_its_slot() {
+fn an_address_converts_back_to_its_slot() {
     for number in [0, 1, 255, 6_499] {
         assert_eq!(slot(IpAddr::from(address(number))), Some(number));
     }
 }
 
 #[test]
-fn a_sweep_that_lost_what_it_measured_fails() {
+fn a_sweep_with_closed_connections_or_unseen_changes_fails() {
     let step = |name: &str, value: f64| Figure::new("log_watchers", 100.0, name, value);
     let whole = [
         step("connected", 100.0),
--- a/crates/scale/src/subset_comparison/case.rs
+++ b/crates/scale/src/subset_comparison/case.rs
@@ -1,10 +1,10 @@
-//! What a comparison runs: one strategy with one size in one fleet.
+//! Identifies one case of a comparison: a strategy with a subset size in a fleet.
 
 use super::experiment::Fleet;
 use super::strategy_name::StrategyName;
 use std::fmt;
 
-/// So many gateways before so many engines.
+/// Numbers of gateways and engines of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FleetSize {
     pub gateways: usize,
@@ -17,11 +17,11 @@
     }
 }
 
-/// One strategy with one size in one fleet.
+/// A strategy with a subset size in a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Case {
     pub fleet: FleetSize,
-    /// Engines of a subset; all engines where the strategy holds the whole list.
+    /// Number of engines in a subset; all engines if the strategy holds the whole list.
     pub size: usize,
     pub strategy: StrategyName,
 }
--- a/crates/scale/src/subset_comparison/chart.rs
+++ b/crates/scale/src/subset_comparison/chart.rs
@@ -1,4 +1,4 @@
-//! Charts of the spread against the size of the subset, one for each fleet.
+//! Draws charts of the spread of work over the subset size, one for each fleet.
 
 use super::case::FleetSize;
 use super::figure::Figure;
@@ -10,12 +10,14 @@
 use std::path::{Path, PathBuf};
 
 const WIDTH_AND_HEIGHT: (u32, u32) = (900, 540);
+/// Radius of a point, in pixels.
 const POINT_SIZE: i32 = 4;
 const LABEL_AREA: u32 = 50;
-/// Space above the highest value, as a factor.
+/// Factor by which the vertical axis extends beyond the highest value.
 const HEADROOM: f64 = 1.05;
 
-/// Draws the p99 of work per core over the mean, even traffic, one curve for each strategy, into files beside `results`.
+/// Draws the p99 of work per core over the mean, for even traffic, with one curve for each strategy. The charts are
+/// written beside the file `results`.
 pub fn draw(rows: &[Row], results: &Path) -> Result<(), Box<dyn Error>> {
     let mut fleets: Vec<FleetSize> = rows.iter().map(|row| row.case.fleet).collect();
     fleets.dedup();
@@ -88,7 +90,7 @@
     Ok(())
 }
 
-/// The points of each strategy that depends on the size.
+/// Returns the points of each strategy that depends on the subset size.
 fn curves(rows: &[Row], fleet: FleetSize) -> Vec<(StrategyName, Vec<(f64, f64)>)> {
     let points_of = |strategy: StrategyName| {
         let of_strategy =
--- a/crates/scale/src/subset_comparison/compare.rs
+++ b/crates/scale/src/subset_comparison/compare.rs
@@ -1,4 +1,4 @@
-//! Runs each strategy on each fleet with each size and seed, and gathers the figures.
+//! Runs each strategy on each fleet with each subset size and seed, and collects the figures.
 
 use super::case::Case;
 use super::experiment::{Experiment, Fleet};
@@ -13,15 +13,15 @@
 use indicatif::ProgressBar;
 use std::collections::BTreeMap;
 
-/// Mean number of gateways that hold an engine at least; a smaller size is raised to that. An engine has no holder with
-/// a probability of about e to the power of minus this.
+/// Minimum of the mean number of gateways that hold an engine; smaller subset sizes are raised to reach it. An engine
+/// has no holder with a probability of about e to the power of minus this number.
 const MIN_HOLDERS: usize = 24;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// What one seed gave, by figure.
+/// Figures of one seed.
 type Figures = BTreeMap<Figure, f64>;
 
-/// Runs the experiment.
+/// Runs the experiment and returns one row for each figure of each case.
 pub fn compare(experiment: &Experiment) -> Vec<Row> {
     let mut gathered: BTreeMap<Case, Vec<Figures>> = BTreeMap::new();
     let rounds = experiment.fleets.len() * experiment.seeds;
@@ -55,7 +55,7 @@
     let sizes = sizes(fleet);
     let mut measured = Vec::new();
     for (index, &size) in sizes.iter().enumerate() {
-        // The whole list has one size only.
+        // Strategies that hold the whole list do not depend on the size and run once.
         let is_compared = |strategy: &StrategyName| {
             experiment.strategies.contains(strategy) && (index == 0 || !strategy.holds_whole_list())
         };
@@ -77,7 +77,7 @@
     measured
 }
 
-/// The sizes to compare: raised to the floor, without repeats, and under the whole list.
+/// Returns the subset sizes to compare: raised to the minimum, without duplicates, and smaller than the whole list.
 fn sizes(fleet: &Fleet) -> Vec<usize> {
     let floor = (MIN_HOLDERS * fleet.engines).div_ceil(fleet.gateways);
     let raised = fleet.subset_sizes.iter().map(|size| (*size).max(floor));
@@ -87,13 +87,15 @@
     sizes
 }
 
-/// One fleet under one seed, and what it becomes by each change.
+/// A fleet of one seed, before and after each change.
 struct Scenario<'a> {
     experiment: &'a Experiment,
     population: Population,
-    /// In the order of [`Change::ALL`].
+    /// The fleet after each change, in the order of [`Change::ALL`].
     changed: Vec<Population>,
+    /// Even traffic, by gateway number.
     even: Vec<f64>,
+    /// Uneven traffic, by gateway number.
     uneven: Vec<f64>,
 }
 
@@ -228,7 +230,8 @@
     }
 }
 
-/// Gateways that differ from the reference implementation, before a change or after one.
+/// Counts the gateways whose subsets differ from those of the reference implementation, summed over the choices before
+/// and after each change.
 fn differing_gateways(reference: &Choices, choices: &Choices) -> usize {
     let before = measure::differing_gateways(&reference.before, &choices.before);
     let after = reference.after.iter().zip(&choices.after);
--- a/crates/scale/src/subset_comparison/experiment.rs
+++ b/crates/scale/src/subset_comparison/experiment.rs
@@ -1,4 +1,4 @@
-//! An experiment's file: the fleets and the strategies to compare.
+//! Reads and checks experiment files of the subcommand `spread`: the fleets and the strategies to compare.
 
 use super::injected_fault::InjectedFault;
 use super::strategy_name::StrategyName;
@@ -6,65 +6,65 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// Bounds of an experiment, so that a typing error does not exhaust the machine.
+/// Bounds on an experiment, so that a typing error does not exhaust the machine.
 const MAX_SEEDS: usize = 1_024;
 const MAX_ENGINES: usize = 100_000;
 const MAX_GATEWAYS: usize = 100_000;
 const MAX_THREADS: usize = 64;
 const MAX_POINTS_PER_CORE: usize = 256;
 
-/// What is compared, and over which fleets.
+/// Parameters of a comparison.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// The first seed; the others follow it.
+    /// First seed; the others are the numbers that follow it.
     pub seed: u64,
-    /// How many seeds each comparison runs with.
+    /// Number of seeds that each case runs with.
     pub seeds: usize,
-    /// Threads that choose at the same time.
+    /// Number of threads that choose subsets concurrently.
     #[serde(default = "one")]
     pub threads: usize,
-    /// The strategies to compare; all when left out.
+    /// Strategies to compare; by default all.
     #[serde(rename = "ways", default = "StrategyName::all")]
     pub strategies: Vec<StrategyName>,
-    /// Engines of each named kind in a subset at least, for the strategies that know placement classes.
+    /// Minimum number of engines of each named kind in a subset, for the strategies that know placement classes.
     pub class_floor: usize,
-    /// Zones, over which engines and gateways are dealt evenly.
+    /// Number of zones. Racks are assigned to them in turn.
     pub zones: u32,
-    /// Engines in a rack; a rack lies in one zone.
+    /// Number of engines in a rack; a rack lies in one zone.
     pub rack_engines: usize,
-    /// Kinds of engines.
+    /// Kinds of engines, which are drawn at random by their shares.
     pub kinds: Vec<Kind>,
     pub fleets: Vec<Fleet>,
     pub traffic: Traffic,
     pub ring: Ring,
     pub sampling: Sampling,
-    /// Share of the gateways that leaves in the change of gateways.
+    /// Share of the gateways that leave in the change of gateways; 0 or more and less than 1.
     pub gateways_lost: f64,
-    /// An injected fault, which the judge has to find.
+    /// Fault to inject, which the judge has to find.
     #[serde(rename = "slip", default)]
     pub injected_fault: Option<InjectedFault>,
 }
 
-/// Engines of one number of cores.
+/// A kind of engine.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
     pub cores: f64,
-    /// Part of all engines.
+    /// Share of all engines, relative to the sum of the shares of all kinds.
     pub share: f64,
     /// Whether a query class names this kind, which makes it a placement class.
     #[serde(default)]
     pub named: bool,
 }
 
-/// So many gateways before so many engines.
+/// A fleet and the subset sizes to compare in it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
     pub gateways: usize,
     pub engines: usize,
-    /// Engines in a subset; a size under the floor is raised to it.
+    /// Numbers of engines in a subset. Sizes with too few holders per engine are raised.
     pub subset_sizes: Vec<usize>,
 }
 
@@ -74,7 +74,7 @@
         let counts = (2..=MAX_GATEWAYS).contains(&self.gateways)
             && (2..=MAX_ENGINES).contains(&self.engines);
         if !counts {
-            let remedy = "name gateways and engines in this range";
+            let remedy = "use numbers of gateways and engines in this range";
             return Err(InvalidValue::new(
                 "fleets",
                 found,
@@ -83,7 +83,7 @@
             ));
         }
         if self.subset_sizes.is_empty() || self.subset_sizes.contains(&0) {
-            let (expected, remedy) = ("a list of 1 or more", "name the sizes to compare");
+            let (expected, remedy) = ("a list of 1 or more", "list the sizes to compare");
             return Err(InvalidValue::new(
                 "fleets.subset_sizes",
                 found,
@@ -95,31 +95,33 @@
     }
 }
 
-/// Uneven traffic: some gateways get several times the mean of the others.
+/// Uneven traffic: some gateways get a multiple of the mean, and the others share the rest.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
+    /// Share of the gateways that get heavy traffic.
     pub heavy_share: f64,
+    /// Traffic of a heavy gateway, as a multiple of the mean over all gateways.
     pub heavy_factor: f64,
-    /// Queries a second a gateway in the mean; only the connections of sampling depend on it.
+    /// Mean query rate of a gateway. Only the connections of the strategy `sampling` depend on it.
     pub queries_per_second: f64,
 }
 
-/// The ring with virtual nodes.
+/// Settings of the strategy `ring`.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ring {
-    /// Points of an engine for each of its cores.
+    /// Number of an engine's points on the ring for each of its cores.
     pub points_per_core: usize,
 }
 
-/// Sampling a few engines of the whole list for each decision.
+/// Settings of the strategy `sampling`, which draws a few engines of the whole list for each decision.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sampling {
-    /// Engines polled for their load, for each decision.
+    /// Number of engines that are polled for their load at each decision.
     pub draws: usize,
-    /// A connection is closed when it was idle for so long.
+    /// Idle time in seconds after which a connection is closed.
     pub connection_idle_s: f64,
 }
 
@@ -128,16 +130,16 @@
 }
 
 impl Experiment {
-    /// Reads and checks an experiment.
+    /// Reads an experiment file and checks its values.
     ///
     /// # Errors
     ///
-    /// Where it can't be read, is no such experiment, or has a value that can't be used.
+    /// The file can't be read, is not an experiment of this kind, or has a value that can't be used.
     pub fn read(file: &Path) -> Result<Self, ExperimentError> {
         experiment::read(file, Experiment::check)
     }
 
-    /// The kinds that query classes name.
+    /// Returns the indices of the kinds that query classes name.
     pub fn named_kinds(&self) -> Vec<u32> {
         (0..)
             .zip(&self.kinds)
@@ -160,7 +162,7 @@
                 "seeds",
                 self.seeds,
                 "1 to 1,024",
-                "name how often each is played",
+                "use the number of seeds for each case",
             ));
         }
         if !(1..=MAX_THREADS).contains(&self.threads) {
@@ -168,7 +170,7 @@
                 "threads",
                 self.threads,
                 "1 to 64",
-                "name the cores it may use",
+                "use the number of cores available to the run",
             ));
         }
         Ok(())
@@ -180,11 +182,11 @@
                 "zones",
                 self.zones,
                 "1 or more",
-                "name the number of zones",
+                "use the number of zones",
             ));
         }
         if self.rack_engines == 0 {
-            let remedy = "name the engines that share a rack";
+            let remedy = "use the number of engines that share a rack";
             return Err(InvalidValue::new(
                 "rack_engines",
                 self.rack_engines,
@@ -194,7 +196,7 @@
         }
         let usable = |kind: &Kind| positive(kind.cores) && positive(kind.share);
         if self.kinds.is_empty() || !self.kinds.iter().all(usable) {
-            let remedy = "name cores and share of each kind";
+            let remedy = "set cores and share of each kind";
             return Err(InvalidValue::new(
                 "kinds",
                 format!("{:?}", self.kinds),
@@ -215,7 +217,7 @@
         if !(0.0..1.0).contains(&self.gateways_lost) {
             let (expected, remedy) = (
                 "0 or more and under 1",
-                "name the part of the gateways that goes",
+                "use the share of gateways that leave",
             );
             let found = self.gateways_lost;
             return Err(InvalidValue::new("gateways_lost", found, expected, remedy));
@@ -229,7 +231,7 @@
             .iter()
             .all(|strategy| self.strategies.contains(strategy))
         {
-            let remedy = "name both as well: one is judged by the other";
+            let remedy = "list both as well: one is judged by the other";
             let expected = "a list with subset and rendezvous-floors";
             return Err(InvalidValue::new(
                 "ways",
@@ -239,7 +241,7 @@
             ));
         }
         if !(1..=MAX_POINTS_PER_CORE).contains(&self.ring.points_per_core) {
-            let remedy = "name the points of an engine on the ring for each core";
+            let remedy = "use the number of ring points for each core of an engine";
             return Err(InvalidValue::new(
                 "ring.points_per_core",
                 self.ring.points_per_core,
@@ -248,7 +250,7 @@
             ));
         }
         if self.sampling.draws == 0 || !positive(self.sampling.connection_idle_s) {
-            let remedy = "name draws of 1 or more and a time over 0";
+            let remedy = "set draws to 1 or more and connection_idle_s to a time over 0";
             return Err(InvalidValue::new(
                 "sampling",
                 format!("{:?}", self.sampling),
@@ -262,7 +264,7 @@
     fn check_traffic(&self) -> Result<(), InvalidValue> {
         let traffic = &self.traffic;
         if !positive(traffic.heavy_factor) || !positive(traffic.queries_per_second) {
-            let remedy = "name a factor and a rate over 0";
+            let remedy = "set heavy_factor and queries_per_second to numbers over 0";
             return Err(InvalidValue::new(
                 "traffic",
                 format!("{traffic:?}"),
@@ -273,7 +275,7 @@
         let heavy = traffic.heavy_share * traffic.heavy_factor;
         if !(0.0..1.0).contains(&traffic.heavy_share) || heavy >= 1.0 {
             let remedy =
-                "name fewer heavy gateways or a lower factor, so that something is left for the others";
+                "use a lower share or factor, so that some traffic is left for the other gateways";
             return Err(InvalidValue::new(
                 "traffic.heavy_share",
                 traffic.heavy_share,
--- a/crates/scale/src/subset_comparison/fault_injection.rs
+++ b/crates/scale/src/subset_comparison/fault_injection.rs
@@ -1,20 +1,22 @@
-//! Injects faults between the strategies and the measures.
+//! Injects faults into the subsets that a strategy chose, before they are measured.
 
 use super::injected_fault::InjectedFault;
 use super::population::Change;
 use super::strategy::Assignment;
 use std::sync::Arc;
 
-/// When a choice was made.
+/// Point of a comparison at which subsets were chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Moment {
+    /// Before any change.
     First,
+    /// After a change.
     After(Change),
-    /// All that was lost is restored.
+    /// After all lost engines and gateways have been restored.
     Restored,
 }
 
-/// Injects the fault into a choice.
+/// Applies the fault to the assignment, if the fault concerns this moment.
 pub fn inject(fault: InjectedFault, moment: Moment, assignment: &mut Assignment) {
     match (fault, moment) {
         (InjectedFault::UnheldEngine, Moment::First) => {
--- a/crates/scale/src/subset_comparison/figure.rs
+++ b/crates/scale/src/subset_comparison/figure.rs
@@ -1,10 +1,12 @@
-//! The figures of a comparison.
+//! The figures of a comparison and their names.
 
 use super::population::Change;
 
-/// What was measured. Work is per core over the mean; moves are pairs of a gateway and an engine.
+/// A measured or derived value. Work is per core and relative to the mean. Moves are pairs of a gateway and an engine
+/// that a change adds or removes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Figure {
+    /// Mean number of engines that a gateway holds.
     Members,
     EvenP50,
     EvenP99,
@@ -15,29 +17,30 @@
     ConnectionsP50,
     ConnectionsP99,
     ConnectionsMax,
-    /// Engines that no gateway holds.
+    /// Number of engines that no gateway holds.
     EnginesWithoutGateway,
     Moved(Change),
-    /// Part of all pairs that moved.
+    /// Share of all pairs that moved.
     MovedShare(Change),
-    /// Moves over what any strategy needs that holds as many members afterwards.
+    /// Moves, relative to the minimum for any strategy that holds as many members after the change.
     MovedOverLeast(Change),
-    /// Moves over what any strategy needs to restore the size and the floors, and no more.
+    /// Moves, relative to the minimum that restores the size and the class floors.
     MovedOverFloor(Change),
-    /// Bytes that a gateway stores for the choice, beside the list.
+    /// Bytes that a gateway stores for the choice, in addition to the list.
     StateBytes,
-    /// Processor time of the first choice, for each gateway.
+    /// Processor time of the first choice per gateway, in microseconds.
     ChooseMicroseconds,
-    /// Gateways whose settled subset differs from the reference implementation's, before a change or after one, summed.
+    /// Number of gateways whose settled subset differs from that of the reference implementation, summed over the
+    /// choices before and after each change.
     DifferingGateways,
-    /// Gateways whose subset differs from the first one when all that was lost is restored.
+    /// Number of gateways whose subset differs from the first one after all lost engines and gateways are restored.
     NotRestored,
-    /// The largest sum of the holders' shares of an engine, by the holder counts that they know.
+    /// Largest sum over the holders of an engine of one divided by the number of holders that each of them assumes.
     SumOfShares,
 }
 
 impl Figure {
-    /// Its name in files.
+    /// Name of the figure in result files.
     pub fn label(self) -> String {
         let of_change = |what: &str, change: Change| {
             let change = match change {
--- a/crates/scale/src/subset_comparison/judge.rs
+++ b/crates/scale/src/subset_comparison/judge.rs
@@ -1,4 +1,4 @@
-//! The verdict on the strategy in use, from its figures only.
+//! Judges the strategy in use, `garnetwall-subset`, by its figures alone.
 
 use super::case::Case;
 use super::figure::Figure;
@@ -6,19 +6,20 @@
 use super::report::Row;
 use super::strategy_name::StrategyName;
 
-/// Moves over those that no strategy could avoid, at most.
+/// Maximum ratio of the moves to the unavoidable ones.
 const MAX_MOVE_RATIO: f64 = 1.05;
-/// Sum of the holders' shares of an engine, at most: the module uses 0.6 of a cold engine's budget.
+/// Maximum sum of the holders' shares of an engine. The module uses 0.6 of a cold engine's budget, so a sum of 1 / 0.6
+/// still fits the budget.
 const MAX_SUM_OF_SHARES: f64 = 1.0 / 0.6;
 
-/// One judged thing.
+/// Result of one check.
 #[derive(Debug)]
 pub struct Check {
     pub passed: bool,
     pub text: String,
 }
 
-/// Judges `garnetwall-subset` in every fleet and with every size.
+/// Checks the figures of `garnetwall-subset` in every fleet and with every size.
 pub fn judge(rows: &[Row]) -> Vec<Check> {
     rows.iter()
         .filter(|row| row.case.strategy == StrategyName::Subset)
@@ -55,7 +56,7 @@
     Some(Check { passed, text })
 }
 
-/// Prints each check and the counts, and returns whether all passed, and at least one did.
+/// Prints each check and the counts. Returns whether at least one check passed and none failed.
 pub fn print_verdict(checks: &[Check]) -> bool {
     checks.iter().for_each(|check| println!("{}", check.text));
     let passed = checks.iter().filter(|check| check.passed).count();
--- a/crates/scale/src/subset_comparison/measure.rs
+++ b/crates/scale/src/subset_comparison/measure.rs
@@ -1,4 +1,4 @@
-//! What follows from a choice of subsets: work, connections, moves.
+//! Measures an assignment of engines to gateways: work, connections, and moves at a change.
 
 #[cfg(test)]
 mod tests;
@@ -8,7 +8,7 @@
 use crate::statistics::quantile;
 use std::collections::HashMap;
 
-/// A distribution over engines.
+/// Quantiles of a distribution over engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Distribution {
     pub p50: f64,
@@ -17,7 +17,7 @@
 }
 
 impl Distribution {
-    /// The p99 is the value that 99 in 100 do not exceed.
+    /// Computes the quantiles of `values`. The p99 is the value that 99 in 100 values do not exceed.
     pub fn of(mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
         Distribution {
@@ -28,8 +28,8 @@
     }
 }
 
-/// Work of each engine per core over the mean, when each gateway splits its traffic over its subset by cores.
-/// `traffic` is by gateway number.
+/// Computes the work of each engine per core, relative to the mean, if each gateway splits its traffic over its subset
+/// in proportion to cores. `traffic` is indexed by gateway number.
 pub fn work_over_mean(
     population: &Population,
     assignment: &Assignment,
@@ -53,7 +53,7 @@
     Distribution::of(population.numbers().into_iter().map(of_engine).collect())
 }
 
-/// Engines that no gateway holds.
+/// Counts the engines that no gateway holds.
 pub fn engines_without_gateway(population: &Population, assignment: &Assignment) -> usize {
     let mut is_held = vec![false; population.engine_numbers()];
     let held = assignment.held.iter().flat_map(|held| held.iter());
@@ -65,14 +65,14 @@
         .count()
 }
 
-/// Gateways whose subsets differ, or that are in one assignment only.
+/// Counts the gateways whose subsets differ or that are in one assignment only.
 pub fn differing_gateways(one: &Assignment, other: &Assignment) -> usize {
     let pairs = one.held.iter().zip(&other.held);
     pairs.filter(|(one, other)| one != other).count() + one.held.len().abs_diff(other.held.len())
 }
 
-/// The largest sum of the holders' shares of an engine, where a share is one over the holder's own count of holders.
-/// 1 is the whole engine.
+/// Returns the largest sum of the holders' shares of an engine. A share is one over the number of holders that the
+/// holder assumes; a sum of 1 is the whole engine.
 pub fn largest_sum_of_shares(population: &Population, assignment: &Assignment) -> f64 {
     let mut sums = vec![0.0; population.engine_numbers()];
     for (held, holder_counts) in assignment.held.iter().zip(&assignment.holder_counts) {
@@ -83,30 +83,31 @@
     sums.into_iter().fold(0.0, f64::max)
 }
 
-/// Pairs of a gateway and an engine that were added or removed, for the gateways that stayed.
+/// Pairs of a gateway and an engine that a change added or removed, for the gateways that stayed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Moves {
     pub moved: usize,
-    /// What any strategy needs that holds as many members afterwards: those lost leave, the difference joins.
+    /// Minimum for any strategy that holds as many members after the change: lost members leave, and the difference
+    /// joins.
     pub least: usize,
-    /// What any strategy needs to restore the size and each kind's floor, and no more.
+    /// Minimum that restores the size and each kind's floor.
     pub floor: usize,
-    /// Pairs before the change.
+    /// Number of pairs before the change.
     pub held: usize,
 }
 
 impl Moves {
-    /// Moves over the least; 1 where nothing moved.
+    /// Ratio of the moves to [`Moves::least`]; 1 if nothing moved and nothing had to.
     pub fn over_least(&self) -> f64 {
         ratio(self.moved, self.least)
     }
 
-    /// Moves over the floor; 1 where nothing moved.
+    /// Ratio of the moves to [`Moves::floor`]; 1 if nothing moved and nothing had to.
     pub fn over_floor(&self) -> f64 {
         ratio(self.moved, self.floor)
     }
 
-    /// Part of the pairs that moved.
+    /// Share of the pairs that moved.
     pub fn share(&self) -> f64 {
         self.moved as f64 / self.held.max(1) as f64
     }
@@ -119,14 +120,14 @@
     }
 }
 
-/// What a subset has to hold: so many engines, and so many of each class.
+/// Requirements on a subset: its size and the minimum of each placement class.
 #[derive(Clone, Debug)]
 pub struct Required {
     pub size: usize,
     pub classes: Classes,
 }
 
-/// A population, and the engines that its gateways hold.
+/// A population and the engines that its gateways hold.
 #[derive(Clone, Copy)]
 pub struct Assigned<'a> {
     pub population: &'a Population,
@@ -134,7 +135,7 @@
 }
 
 impl<'a> Assigned<'a> {
-    /// Each gateway's number, and the engines that it holds.
+    /// Iterates over the gateways' numbers and the engines that each of them holds.
     fn held_by_gateway(self) -> impl Iterator<Item = (u32, &'a [u32])> {
         let numbers = self
             .population
@@ -145,7 +146,7 @@
     }
 }
 
-/// The moves of one change.
+/// Counts the moves of one change.
 pub fn moves(before: Assigned, after: Assigned, required: &Required) -> Moves {
     let after_by_number: HashMap<u32, &[u32]> = after.held_by_gateway().collect();
     let remaining = Remaining::new(before.population, after.population);
@@ -169,7 +170,7 @@
     moves
 }
 
-/// Elements that are in only one of two ascending lists.
+/// Counts the elements that are in only one of two ascending lists.
 fn differing(one: &[u32], other: &[u32]) -> usize {
     let (mut one_rest, mut other_rest) = (one, other);
     let mut common = 0;
@@ -182,12 +183,13 @@
     one.len() + other.len() - 2 * common
 }
 
-/// The engines that remain after a change.
+/// Engines that remain after a change.
 struct Remaining {
     count: usize,
     count_by_kind: Vec<usize>,
-    /// By the numbers of the engines before the change.
+    /// Whether an engine remains, by the numbers of the engines before the change.
     remains: Vec<bool>,
+    /// Kinds, by the numbers of the engines before the change.
     kinds: Vec<u32>,
 }
 
@@ -207,7 +209,7 @@
         }
     }
 
-    /// The members that remain.
+    /// Returns the members that remain.
     fn staying(&self, held: &[u32]) -> Vec<u32> {
         held.iter()
             .copied()
@@ -215,7 +217,7 @@
             .collect()
     }
 
-    /// Engines that have to join to restore the size and each class's floor, as far as engines remain.
+    /// Counts the engines that have to join to restore the size and each class's floor, as far as engines remain.
     fn lacking(&self, staying: &[u32], required: &Required) -> usize {
         let of_size = required.size.min(self.count).saturating_sub(staying.len());
         let staying_by_kind = count_by_kind(staying, &self.kinds);
--- a/crates/scale/src/subset_comparison/measure/tests.rs
+++ b/crates/scale/src/subset_comparison/measure/tests.rs
@@ -1,10 +1,10 @@
-//! The measures by hand-worked fleets.
+//! Tests of the measures with small fleets whose results are computed by hand.
 
 use super::*;
 use crate::subset_comparison::population::{Engine, Gateway};
 use std::sync::Arc;
 
-/// Two engines of 8 cores and of kind 0, two of 16 and of kind 1.
+/// Engines 0 and 1 have 8 cores and kind 0, engines 2 and 3 have 16 cores and kind 1.
 fn population(engines: &[u32], gateways: u32) -> Population {
     let engine = |&number: &u32| {
         let kind = number / 2;
@@ -35,7 +35,7 @@
     }
 }
 
-/// A size, and a floor for both kinds.
+/// Requires a size, and a floor for both kinds.
 fn required(size: usize, floor: usize) -> Required {
     Required {
         size,
@@ -77,7 +77,7 @@
 #[test]
 fn work_is_split_by_cores_and_counted_per_core() {
     let fleet = population(&[0, 1, 2, 3], 2);
-    // All hold all: even.
+    // Every gateway holds every engine, so the work is even.
     let even = work_over_mean(
         &fleet,
         &assignment(&[&[0, 1, 2, 3], &[0, 1, 2, 3]]),
@@ -91,7 +91,7 @@
             max: 1.0
         }
     );
-    // The first gateway's 1 on 8 cores, the second's 3 on 32; the mean is 4 on 48, and engine 1 has none.
+    // The first gateway puts 1 on 8 cores, the second 3 on 32. The mean is 4 on 48 cores, and engine 1 has no work.
     let uneven = work_over_mean(&fleet, &assignment(&[&[0], &[2, 3]]), &[1.0, 3.0]);
     assert_eq!(uneven.max, 1.0 / 8.0 / (4.0 / 48.0));
     assert_eq!(uneven.p50, 3.0 / 32.0 / (4.0 / 48.0));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_least_is_what_left_and_what_a_floor_asks_for() {
+fn least_moves_are_the_lost_members_and_their_replacements() {
     let (before, after) = (population(&[0, 1, 2, 3], 2), population(&[1, 2, 3], 2));
     let held = assignment(&[&[0, 2], &[2, 3]]);
     let no_floor = required(2, 0);
@@ -134,7 +134,7 @@
             held: 4
         }
     );
-    // The second gateway lacks one of kind 0, whatever its size.
+    // The second gateway lacks an engine of kind 0, whatever its size.
     let with_floor = required(2, 1);
     let moves = moves(
         assigned(&before, &held),
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn gateways_that_left_are_no_moves() {
+fn lost_gateways_do_not_count_as_moves() {
     let (before, after) = (population(&[0, 1], 2), population(&[0, 1], 1));
     let required = required(1, 0);
     let moves = moves(
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn parts_sum_over_the_holders_of_an_engine() {
+fn shares_are_summed_over_the_holders_of_an_engine() {
     let fleet = population(&[0, 1], 2);
     let mut assignment = assignment(&[&[0, 1], &[1]]);
     assignment.holder_counts = vec![vec![2.0, 2.0], vec![4.0]];
--- a/crates/scale/src/subset_comparison/population.rs
+++ b/crates/scale/src/subset_comparison/population.rs
@@ -1,4 +1,4 @@
-//! Engines and gateways of one fleet under one seed, and the same after a change.
+//! The engines and gateways of a fleet, drawn by a seed, before and after a change.
 
 use super::experiment::{Experiment, Fleet};
 use rand::rngs::SmallRng;
@@ -7,10 +7,10 @@
 use serde::Serialize;
 use std::collections::HashSet;
 
-/// One engine of the list.
+/// An engine of the list.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Stays the same over changes, and is not known to gateways.
+    /// Number that stays the same over changes. Gateways do not know it.
     pub number: u32,
     pub id: String,
     pub cores: f64,
@@ -19,10 +19,10 @@
     pub rack: u32,
 }
 
-/// One gateway.
+/// A gateway.
 #[derive(Clone, Debug)]
 pub struct Gateway {
-    /// Stays the same over changes.
+    /// Number that stays the same over changes.
     pub number: u32,
     pub name: String,
 }
@@ -38,9 +38,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Change {
+    /// One engine is lost.
     OneEngine,
+    /// All engines of a rack are lost.
     Rack,
+    /// All engines of a zone are lost.
     Zone,
+    /// A share of the gateways is lost.
     Gateways,
 }
 
@@ -55,7 +59,7 @@
 }
 
 impl Population {
-    /// The fleet of one seed. Names hold the seed, so that each seed gives other hashes.
+    /// Draws the fleet of a seed. Names contain the seed, so that each seed gives different hashes.
     pub fn draw(experiment: &Experiment, fleet: &Fleet, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let engines = (0..fleet.engines)
@@ -71,7 +75,7 @@
         }
     }
 
-    /// The fleet after a change. The seed draws what is lost.
+    /// Returns the fleet after a change. The seed determines what is lost.
     pub fn after(&self, change: Change, experiment: &Experiment, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let example = &self.engines[rng.random_range(0..self.engines.len())];
@@ -113,7 +117,7 @@
         }
     }
 
-    /// One over the largest number of an engine, lost ones included.
+    /// Returns the largest number of a present engine plus one. Lost engines may have smaller numbers.
     pub fn engine_numbers(&self) -> usize {
         self.engines
             .iter()
@@ -122,7 +126,7 @@
             .unwrap_or(0)
     }
 
-    /// Cores by engine number; 0 for engines that are lost.
+    /// Returns the cores of the engines by their number; 0 for lost engines.
     pub fn cores(&self) -> Vec<f64> {
         let mut cores = vec![0.0; self.engine_numbers()];
         self.engines
@@ -131,7 +135,7 @@
         cores
     }
 
-    /// Kinds by engine number.
+    /// Returns the kinds of the engines by their number; 0 for lost engines.
     pub fn kinds(&self) -> Vec<u32> {
         let mut kinds = vec![0; self.engine_numbers()];
         self.engines
@@ -140,7 +144,7 @@
         kinds
     }
 
-    /// The numbers of all engines, ascending.
+    /// Returns the numbers of all engines, ascending.
     pub fn numbers(&self) -> Vec<u32> {
         self.engines.iter().map(|engine| engine.number).collect()
     }
@@ -159,6 +163,7 @@
     }
 }
 
+/// Draws a kind in proportion to the shares of the kinds.
 fn draw_kind(experiment: &Experiment, rng: &mut SmallRng) -> usize {
     let all: f64 = experiment.kinds.iter().map(|kind| kind.share).sum();
     let mut left = rng.random::<f64>() * all;
@@ -171,12 +176,12 @@
     experiment.kinds.len() - 1
 }
 
-/// The traffic of each gateway by its number, 1 in the mean when it is even.
+/// Returns even traffic, by gateway number; the mean is 1.
 pub fn even_traffic(gateways: usize) -> Vec<f64> {
     vec![1.0; gateways]
 }
 
-/// Traffic where some gateways, drawn by the seed, get several times the mean of all.
+/// Returns uneven traffic, by gateway number; the mean is 1. The seed determines the gateways with heavy traffic.
 pub fn uneven_traffic(experiment: &Experiment, gateways: usize, seed: u64) -> Vec<f64> {
     let heavy_count = (gateways as f64 * experiment.traffic.heavy_share).round() as usize;
     let heavy = experiment.traffic.heavy_factor;
--- a/crates/scale/src/subset_comparison/report.rs
+++ b/crates/scale/src/subset_comparison/report.rs
@@ -1,4 +1,4 @@
-//! Figures as rows: a table for the terminal, and flat rows for files.
+//! Renders figures as a table for the terminal and as flat rows for result files.
 
 use super::case::Case;
 use super::figure::Figure;
@@ -6,7 +6,7 @@
 use crate::statistics::median;
 use serde::Serialize;
 
-/// One figure of one strategy with one size in one fleet, over all seeds.
+/// A figure of one case, over all seeds.
 #[derive(Clone, Debug)]
 pub struct Row {
     pub case: Case,
@@ -17,7 +17,7 @@
     pub seeds: usize,
 }
 
-/// A row as it is written to files.
+/// A row as it is written to result files.
 #[derive(Serialize)]
 pub struct FlatRow {
     gateways: usize,
@@ -25,6 +25,7 @@
     size: usize,
     #[serde(rename = "way")]
     strategy: &'static str,
+    /// Information that a gateway needs for the strategy.
     knows: &'static str,
     figure: String,
     min: f64,
@@ -34,7 +35,10 @@
 }
 
 impl Row {
-    /// The row of one value or more, one for each seed.
+    /// Creates a row from the values of all seeds.
+    ///
+    /// # Panics
+    /// If `values` is empty.
     pub fn new(case: Case, figure: Figure, mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
         let (min, max) = (values[0], values[values.len() - 1]);
@@ -48,7 +52,7 @@
         }
     }
 
-    /// The row as plain values.
+    /// Returns the row as it is written to result files.
     pub fn flat(&self) -> FlatRow {
         FlatRow {
             gateways: self.case.fleet.gateways,
@@ -65,7 +69,7 @@
     }
 }
 
-/// Columns of the table: their titles, figures, and digits behind the point.
+/// Columns of the table: title, figure, and number of decimal places.
 const COLUMNS: [(&str, Figure, usize); 19] = [
     ("members", Figure::Members, 1),
     ("even p50", Figure::EvenP50, 2),
@@ -96,7 +100,7 @@
     ("sum", Figure::SumOfShares, 2),
 ];
 
-/// Prints medians over the seeds, and the range of the seeds where it is not one value.
+/// Prints the median of each figure over the seeds, with the range if the seeds differ.
 pub fn print_table(rows: &[Row]) {
     let mut cases: Vec<Case> = rows.iter().map(|row| row.case).collect();
     cases.dedup();
--- a/crates/scale/src/subset_comparison/strategies/index_rounds.rs
+++ b/crates/scale/src/subset_comparison/strategies/index_rounds.rs
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How the present gateways are numbered.
+/// Numbering of the present gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Numbering {
-    /// Gapless: assigned again when a gateway leaves.
+    /// Numbers without gaps, which are reassigned when a gateway leaves.
     Compact,
-    /// A gateway's number is permanent; those that left leave gaps.
+    /// Permanent numbers; gateways that left leave gaps.
     Kept,
 }
 
-/// Shuffled rounds. A round's order is by a hash, so that it changes the least with the list.
+/// Rounds over shuffled lists. A round is ordered by a hash, so that a change of the list changes the order least.
 pub struct IndexRounds {
     pub numbering: Numbering,
 }
@@ -53,6 +53,7 @@
     }
 }
 
+/// Returns the engines in the order of a round.
 fn shuffled(population: &Population, round: usize) -> Vec<u32> {
     let place = |engine: &crate::subset_comparison::population::Engine| {
         (
--- a/crates/scale/src/subset_comparison/strategies/mod.rs
+++ b/crates/scale/src/subset_comparison/strategies/mod.rs
@@ -1,4 +1,4 @@
-//! The strategies to choose subsets, a file for each.
+//! The strategies to choose subsets, one file for each.
 
 mod index_rounds;
 mod rendezvous;
@@ -17,7 +17,7 @@
 use subset_crate::SubsetCrate;
 use whole_list::WholeList;
 
-/// A strategy by its name, with the experiment's settings.
+/// Creates the strategy with a name, with the experiment's settings.
 pub fn build(name: StrategyName, experiment: &Experiment) -> Box<dyn Strategy> {
     let rendezvous = |weights, classes| {
         let threads = experiment.threads;
--- a/crates/scale/src/subset_comparison/strategies/rendezvous.rs
+++ b/crates/scale/src/subset_comparison/strategies/rendezvous.rs
@@ -1,16 +1,16 @@
-//! Rendezvous hashing without an index: all scores of a gateway are computed, and the smallest are held.
+//! Rendezvous hashing without an index: computes all scores of a gateway and holds the engines with the smallest ones.
 
 use crate::subset_comparison::population::{Engine, Gateway, Population};
 use crate::subset_comparison::strategy::{Assignment, Classes, Strategy};
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Bytes of a member or a candidate: its score and its number.
+/// Bytes that a gateway stores for a member or candidate: its score and its number.
 const CANDIDATE_BYTES: usize = std::mem::size_of::<(f64, u32)>();
-/// The highest bits of a hash: with half a step added they fit a float exactly.
+/// Number of the highest bits of a hash that are used. With half a step added, they fit a float exactly.
 const FRACTION_BITS: u32 = 52;
 
-/// How much an engine counts in the choice.
+/// Weight of an engine in the choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
     Equal,
@@ -26,7 +26,7 @@
     }
 }
 
-/// The smallest scores of the list, and the smallest of each kind up to a floor.
+/// Chooses the engines with the smallest scores of the list, and those with the smallest of each kind up to a floor.
 pub struct Rendezvous {
     pub weights: Weights,
     pub classes: Classes,
@@ -34,7 +34,7 @@
 }
 
 impl Rendezvous {
-    /// The subset of one gateway.
+    /// Returns the subset of one gateway.
     fn choose_one(&self, engines: &[Engine], gateway: &str, size: usize) -> Arc<[u32]> {
         let name_hash = xxh3_64(gateway.as_bytes());
         let score = |engine: &Engine| (self.score(name_hash, engine), engine.number, engine.kind);
@@ -57,7 +57,7 @@
         held.into()
     }
 
-    /// A draw of the exponential distribution, at a rate of the engine's weight.
+    /// Derives from the hash a draw of the exponential distribution whose rate is the engine's weight.
     fn score(&self, name_hash: u64, engine: &Engine) -> f64 {
         let hash = xxh3_64_with_seed(engine.id.as_bytes(), name_hash);
         let steps = (1u64 << FRACTION_BITS) as f64;
@@ -100,7 +100,7 @@
     }
 }
 
-/// The `count` smallest, in no order; all where there are fewer.
+/// Returns the `count` smallest scores, unordered; all scores if there are fewer.
 fn smallest(scores: &mut [(f64, u32, u32)], count: usize) -> &[(f64, u32, u32)] {
     if count == 0 || scores.len() <= count {
         return &scores[..scores.len().min(count)];
--- a/crates/scale/src/subset_comparison/strategies/ring.rs
+++ b/crates/scale/src/subset_comparison/strategies/ring.rs
@@ -1,4 +1,4 @@
-//! A ring with virtual nodes: a gateway takes the next distinct engines after its own place.
+//! Ring with virtual nodes: a gateway holds the next distinct engines after its own position.
 
 use crate::subset_comparison::population::{Engine, Population};
 use crate::subset_comparison::strategy::{Assignment, Strategy};
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A point of the ring: its place and its engine's number.
+/// A point of the ring: its position and the number of its engine.
 type Point = (u64, u32);
 
-/// Engines on a ring, with points by their cores.
+/// Ring on which each engine has a number of points in proportion to its cores.
 pub struct VirtualNodeRing {
-    /// Points of an engine for each of its cores. Fixed, so that no engine's points depend on the others'.
+    /// Number of points for each core of an engine. Fixed, so that no engine's points depend on those of others.
     pub points_per_core: usize,
 }
 
@@ -58,6 +58,7 @@
     }
 }
 
+/// Returns the next `size` distinct engines on the ring after the gateway's position.
 fn next_distinct(ring: &[Point], gateway: &str, size: usize) -> Arc<[u32]> {
     let place = xxh3_64(gateway.as_bytes());
     let start = ring.partition_point(|(point, _)| *point < place);
--- a/crates/scale/src/subset_comparison/strategies/sampling.rs
+++ b/crates/scale/src/subset_comparison/strategies/sampling.rs
@@ -1,21 +1,21 @@
-//! Sampling: for each decision a few engines of the whole list are polled, and the least loaded gets the query.
+//! Sampling: each decision polls a few engines of the whole list and sends the query to the least loaded one.
 
 use crate::subset_comparison::experiment;
 use crate::subset_comparison::population::Population;
 use crate::subset_comparison::strategy::{Assignment, Strategy};
 use std::sync::Arc;
 
-/// Bytes of an alias table a engine: a threshold and the other engine.
+/// Bytes per engine of an alias table: a threshold and the other engine.
 const ALIAS_BYTES: usize = std::mem::size_of::<(f64, u32)>();
 
-/// Draws by cores from the whole list.
+/// Draws engines from the whole list in proportion to their cores.
 pub struct Sampling {
     pub settings: experiment::Sampling,
     pub queries_per_second: f64,
 }
 
 impl Strategy for Sampling {
-    /// Over time each gateway uses each engine, by its cores.
+    /// Assigns all engines to each gateway, since over time each gateway uses each engine, in proportion to its cores.
     fn choose(&self, population: &Population, _size: usize) -> Assignment {
         let all: Arc<[u32]> = population.numbers().into();
         Assignment {
@@ -24,8 +24,9 @@
         }
     }
 
-    /// A connection lasts while the engine is drawn again before the connection was idle for too long. Computed,
-    /// not simulated: the draws of a gateway at an engine are a Poisson process.
+    /// Computes the mean number of open connections of each engine. A connection stays open if the engine is drawn
+    /// again before the connection has been idle for too long. The result is computed and not simulated, since a
+    /// gateway's draws of an engine are a Poisson process.
     fn connections(&self, population: &Population, assignment: &Assignment) -> Vec<f64> {
         let cores = population.cores();
         let all: f64 = cores.iter().sum();
--- a/crates/scale/src/subset_comparison/strategies/subset_crate.rs
+++ b/crates/scale/src/subset_comparison/strategies/subset_crate.rs
@@ -1,4 +1,5 @@
-//! `garnetwall-subset` itself: given the list as a gateway gives it, and simulated until nothing changes any more.
+//! Strategy of `garnetwall-subset`: passes the list to the crate as a gateway does, and simulates until the subsets
+//! have settled.
 
 use crate::process::processor_time;
 use crate::subset_comparison::population::{Engine, Gateway, Population};
@@ -9,18 +10,18 @@
 };
 use std::collections::{HashMap, HashSet};
 
-/// Simulated time in which a subset has to settle.
+/// Simulated time within which a subset has to settle.
 const SETTLE_SECONDS: f64 = 3_600.0;
-/// Polls after which a subset that still acts is taken as it is.
+/// Maximum number of polls, after which a subset is used as it is.
 const MAX_POLLS: usize = 100_000;
-/// Engines in the reserve, and newcomers a second: they decide how fast a subset settles, not where.
+/// Engines in the reserve, and joins per second. They decide how fast a subset settles, and not which engines it holds.
 const RESERVE: usize = 16;
 const JOINS_PER_SECOND: f64 = 10.0;
 
-/// The package as it is.
+/// Chooses subsets with the crate `garnetwall-subset`.
 pub struct SubsetCrate {
     pub classes: Classes,
-    /// Threads among which the gateways are divided.
+    /// Number of threads among which the gateways are divided.
     pub threads: usize,
 }
 
@@ -43,7 +44,7 @@
         }
     }
 
-    /// A fleet whose gateways have no list yet.
+    /// Creates a fleet whose gateways have no list yet.
     fn start(&self, population: &Population, size: usize) -> SimulatedFleet {
         let settings = self.settings(population.gateways.len(), size);
         let start = |gateway: &Gateway| {
@@ -65,24 +66,26 @@
     }
 }
 
-/// A hollow fleet.
+/// A fleet of hollow gateways.
 struct SimulatedFleet {
     catalog: Catalog,
-    /// The numbers of all engines that were in the catalog.
+    /// Numbers of all engines that have been in the catalog.
     numbers: HashMap<EngineKey, u32>,
     gateways: Vec<HollowGateway>,
     threads: usize,
 }
 
-/// One gateway's subset in the simulation.
+/// The subset of one gateway in the simulation.
 struct HollowGateway {
     number: u32,
     subset: Subset,
+    /// Simulated time, in seconds.
     now: f64,
 }
 
 impl SimulatedFleet {
-    /// Applies a whole list at all gateways, which settle. Returns what the gateways of the population hold.
+    /// Applies a whole list at all gateways, which then settle. Returns the engines that the gateways of the population
+    /// hold.
     fn apply_list(&mut self, population: &Population) -> Assignment {
         let changes = self
             .catalog
@@ -141,7 +144,7 @@
         self.settle(catalog);
     }
 
-    /// Carries out the subset's actions, with every engine reached, until there are none.
+    /// Carries out the subset's actions until there are none. Every connection succeeds.
     fn settle(&mut self, catalog: &Catalog) {
         let end = self.now + SETTLE_SECONDS;
         for _ in 0..MAX_POLLS {
@@ -166,7 +169,7 @@
         self.start(population, size).apply_list(population)
     }
 
-    /// Each change is applied to settled gateways, and undone before the next.
+    /// Applies each change to the settled gateways and undoes the change before the next one.
     fn choose_sequentially(
         &self,
         before: &Population,
--- a/crates/scale/src/subset_comparison/strategies/whole_list.rs
+++ b/crates/scale/src/subset_comparison/strategies/whole_list.rs
@@ -1,10 +1,10 @@
-//! The whole list: what a gateway without subsets does.
+//! Whole list: the strategy of gateways without subsets.
 
 use crate::subset_comparison::population::Population;
 use crate::subset_comparison::strategy::{Assignment, Strategy};
 use std::sync::Arc;
 
-/// Every gateway holds every engine.
+/// Assigns every engine to every gateway.
 pub struct WholeList;
 
 impl Strategy for WholeList {
--- a/crates/scale/src/subset_comparison/strategy.rs
+++ b/crates/scale/src/subset_comparison/strategy.rs
@@ -1,42 +1,43 @@
-//! A strategy to choose subsets, and what it chooses.
+//! Interface of the strategies to choose subsets, and their results.
 
 use super::population::Population;
 use crate::process::processor_time;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The engines that each gateway holds: ascending numbers, in the order of the population's gateways.
+/// The engines that each gateway holds, as ascending numbers. The gateways are in the order of the population.
 #[derive(Clone, Debug)]
 pub struct Assignment {
     pub held: Vec<Arc<[u32]>>,
-    /// The number of holders that each gateway assumes for each engine of `held`; empty where the strategy has none.
+    /// Number of holders that each gateway assumes for each engine in `held`; empty if the strategy does not count
+    /// holders.
     pub holder_counts: Vec<Vec<f64>>,
 }
 
-/// Placement classes, one for each kind that is named.
+/// Placement classes, one for each named kind.
 #[derive(Clone, Debug, Default)]
 pub struct Classes {
-    /// Engines of each in a subset at least.
+    /// Minimum number of engines of each class in a subset.
     pub floor: usize,
     pub kinds: Vec<u32>,
 }
 
-/// The choices before any change, and after each change by itself.
+/// The subsets before any change and after each single change.
 pub struct Choices {
     pub before: Assignment,
-    /// Processor time of the first choice.
+    /// Processor time of the choice before any change.
     pub choice_time: Duration,
     pub after: Vec<Assignment>,
-    /// The choice when all changes are undone, where it depends on more than the population.
+    /// The subsets after all changes are undone, if the strategy depends on more than the present population.
     pub restored: Option<Assignment>,
 }
 
 /// A strategy to choose subsets.
 pub trait Strategy {
-    /// The subsets of all gateways.
+    /// Chooses the subsets of all gateways. `size` is the number of engines in a subset.
     fn choose(&self, population: &Population, size: usize) -> Assignment;
 
-    /// The subsets before and after each change.
+    /// Chooses the subsets before any change and after each of the changes in `changed`.
     fn choose_sequentially(
         &self,
         before: &Population,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Connections that each engine holds, by its number.
+    /// Returns the number of connections of each engine, by engine number.
     fn connections(&self, population: &Population, assignment: &Assignment) -> Vec<f64> {
         let mut connections = vec![0.0; population.engine_numbers()];
         let held = assignment.held.iter().flat_map(|held| held.iter());
@@ -66,10 +67,10 @@
         connections
     }
 
-    /// Bytes that one gateway stores for the choice, beside the list itself.
+    /// Returns the number of bytes that one gateway stores for the choice, in addition to the list.
     fn state_bytes(&self, population: &Population, size: usize) -> usize;
 
-    /// The placement classes that it knows.
+    /// Returns the placement classes that the strategy knows.
     fn classes(&self) -> Classes {
         Classes::default()
     }
--- a/crates/scale/src/subset_comparison/strategy_name.rs
+++ b/crates/scale/src/subset_comparison/strategy_name.rs
@@ -1,33 +1,33 @@
-//! The strategies by their names in an experiment.
+//! Names of the strategies in experiment files and results.
 
 use serde::{Deserialize, Serialize};
 
-/// The strategies by their names in an experiment.
+/// A strategy to choose subsets.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum StrategyName {
     /// Every gateway holds every engine.
     WholeList,
-    /// A few of the whole list for each decision.
+    /// Each decision draws a few engines of the whole list.
     Sampling,
-    /// Rounds of shuffled subsets by gapless numbers, which are assigned again when gateways leave.
+    /// Gateways have numbers without gaps, reassigned when one leaves; each round of numbers divides a shuffled list.
     IndexCompact,
-    /// The same by permanent numbers, with gaps where gateways have left.
+    /// As `IndexCompact`, but with permanent numbers, which have gaps where gateways have left.
     IndexKept,
-    /// The next engines on a ring with virtual nodes.
+    /// A gateway holds the next engines on a ring with virtual nodes.
     Ring,
-    /// Smallest scores by a hash of gateway and engine, each engine with the same weight.
+    /// A gateway holds the engines with the smallest hash scores; all engines have the same weight.
     RendezvousEqual,
-    /// The same with cores as weights.
+    /// As `RendezvousEqual`, with cores as weights.
     RendezvousCores,
-    /// `RendezvousEqual` with a floor for each kind: the reference implementation of `Subset`.
+    /// As `RendezvousEqual`, with a floor for each kind. Reference implementation for `Subset`.
     RendezvousFloors,
-    /// `garnetwall-subset` itself, settled.
+    /// The settled subsets of `garnetwall-subset`.
     Subset,
 }
 
 impl StrategyName {
-    /// All strategies, in the order of the tables.
+    /// Returns all strategies, in the order of the tables.
     pub fn all() -> Vec<StrategyName> {
         vec![
             StrategyName::WholeList,
@@ -42,7 +42,7 @@
         ]
     }
 
-    /// Its name in tables and files.
+    /// Name of the strategy in tables and result files.
     pub fn label(self) -> &'static str {
         match self {
             StrategyName::WholeList => "whole-list",
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Whether a gateway works with all engines, whatever the size of a subset is.
+    /// Whether a gateway holds all engines, whatever the subset size is.
     pub fn holds_whole_list(self) -> bool {
         matches!(self, StrategyName::WholeList | StrategyName::Sampling)
     }
 
-    /// What a gateway has to know to use it.
+    /// Information that a gateway needs for the strategy.
     pub fn knowledge(self) -> &'static str {
         match self {
             StrategyName::WholeList | StrategyName::Sampling => "list",
--- a/crates/scale/tests/beside.rs
+++ b/crates/scale/tests/beside.rs
@@ -1,5 +1,5 @@
-//! `garnetwall-scale beside` with real gateways: the small form passes, a fault put in for each judged thing is found, and
-//! nothing that was started outlives a run.
+//! Tests of `garnetwall-scale beside` with real gateways: the small experiment passes, the fault injected for each
+//! judged property is found, and no process outlives a run.
 
 use std::io::Read;
 use std::path::{Path, PathBuf};
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_garnetwall-scale");
-/// A run of this file's is over long before; only a hanging one is not.
+/// Timeout for a run. Runs of these tests take much less, so only a hanging run exceeds it.
 const OVER_WITHIN: Duration = Duration::from_secs(120);
 
-/// The gateway's program, built into this test's target folder where it is not there yet.
+/// Returns the path of the gateway's program, which is built into this test's target folder if it does not exist.
 fn gateway_binary() -> &'static Path {
     static BINARY: OnceLock<PathBuf> = OnceLock::new();
     BINARY.get_or_init(|| {
@@ -51,7 +51,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/beside-small.toml")
 }
 
-/// Writes an experiment into a file of its own: tests run at the same time, two of them with the same fault.
+/// Writes an experiment into a separate file: tests run concurrently, and two of them inject the same fault.
 fn experiment(name: &str, text: &str) -> PathBuf {
     static WRITTEN: AtomicUsize = AtomicUsize::new(0);
     let number = WRITTEN.fetch_add(1, Ordering::Relaxed);
@@ -84,7 +84,7 @@
         if began.elapsed() > OVER_WITHIN {
             child.kill().unwrap();
             panic!(
-                "{} is not over within {OVER_WITHIN:?}",
+                "{} did not finish within {OVER_WITHIN:?}",
                 experiment.display()
             );
         }
@@ -93,7 +93,7 @@
     child.wait_with_output().unwrap()
 }
 
-/// What faults are put into: without one, it passes under the same bounds.
+/// An experiment without an injected fault, with the bounds of the tests that inject one.
 const FAULTLESS: &str = "seed = 3
 gateways = 2
 engines = 24
@@ -125,7 +125,7 @@
 ";
 
 #[test]
-fn without_a_fault_the_same_passes() {
+fn the_fault_free_experiment_passes() {
     let output = run(&experiment("faultless", FAULTLESS), gateway_binary());
     let shown = String::from_utf8_lossy(&output.stdout);
     assert_eq!(
@@ -137,7 +137,7 @@
     assert_eq!(shown.lines().last(), Some("14 passed, 0 failed"), "{shown}");
 }
 
-/// Runs a fault, which has to be found as a failure of what it breaks.
+/// Runs an experiment with `fault` and asserts that the judgement `broken` fails.
 fn assert_finds(fault: &str, more: &str, broken: &str) {
     let text = format!(
         "seed = 3\ngateways = 2\nengines = 24\nwatchers = 20\nqueries_per_second = 40.0\nkeys = 4\nslip = '{fault}'\n{more}"
@@ -145,6 +145,7 @@
     assert_finds_in(fault, &text, gateway_binary(), broken);
 }
 
+/// Runs an experiment and asserts that the judgement `broken` fails and that the exit code is 1.
 fn assert_finds_in(name: &str, text: &str, binary: &Path, broken: &str) {
     let output = run(&experiment(name, text), binary);
     let shown = String::from_utf8_lossy(&output.stdout);
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn the_small_form_passes() {
+fn the_small_experiment_passes() {
     let output = run(&small_form(), gateway_binary());
     let shown = String::from_utf8_lossy(&output.stdout);
     assert_eq!(
@@ -231,7 +232,7 @@
 }
 
 #[test]
-fn queries_of_a_key_that_run_together_are_found() {
+fn overlapping_queries_of_a_key_are_found() {
     assert_finds(
         "key-withheld",
         "seconds = 6.0",
@@ -250,7 +251,7 @@
 }
 
 #[test]
-fn queries_that_too_seldom_succeed_are_found() {
+fn too_low_a_share_of_successful_queries_is_found() {
     let bound = "seconds = 5.0\n[expect]\nsucceeded_share = 0.9";
     assert_finds("uneven-engines", bound, "share of queries that succeed");
 }
@@ -273,11 +274,12 @@
     assert_finds("killed-drain", term, "terminated gateways end cleanly");
 }
 
+/// An experiment without an injected fault and without bounds.
 const WITHOUT_SLIP: &str =
     "seed = 3\ngateways = 2\nengines = 24\nwatchers = 5\nqueries_per_second = 60.0\nkeys = 0\nseconds = 3.0\n";
 
 #[test]
-fn a_gateway_that_meets_too_many_engines_and_an_engine_that_meets_too_many_gateways_are_found() {
+fn a_gateway_with_too_many_engines_and_an_engine_with_too_many_gateways_are_found() {
     let text = format!("{WITHOUT_SLIP}[expect]\nengines_a_gateway = 6");
     assert_finds_in(
         "many-engines",
@@ -310,18 +312,18 @@
 }
 
 #[test]
-fn a_run_in_which_nothing_is_played_fails() {
+fn a_run_without_queries_fails() {
     let text = WITHOUT_SLIP.replace("60.0", "0.0");
     assert_finds_in("nothing", &text, gateway_binary(), "something was played");
 }
 
 #[test]
-fn a_run_that_is_stopped_ends_its_gateways() {
+fn a_run_stopped_by_a_signal_ends_its_gateways() {
     let mut child = start(&small_form(), gateway_binary());
     let folder = std::env::temp_dir().join(format!("garnetwall-beside-{}", child.id()));
     let began = Instant::now();
     while gateways_of(&folder).len() < 3 {
-        assert!(began.elapsed() < OVER_WITHIN, "the gateways never started");
+        assert!(began.elapsed() < OVER_WITHIN, "the gateways did not start");
         sleep(Duration::from_millis(20));
     }
     let stopped = Command::new("kill")
@@ -358,7 +360,7 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Processes that were started with a configuration in this folder.
+/// Returns the ids of the processes that were started with a configuration in this folder.
 fn gateways_of(folder: &Path) -> Vec<u32> {
     let mark = folder.to_string_lossy().into_owned();
     let processes = std::fs::read_dir("/proc").unwrap().flatten();
@@ -371,7 +373,7 @@
 }
 
 #[test]
-fn a_faulty_experiment_is_reported_with_its_place() {
+fn an_invalid_experiment_is_reported_with_its_fault() {
     let cases = [
         ("gateways = 0", "gateways: 0 is not from 1 to 200"),
         ("gateways = 'two'", "invalid type: string"),
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale/tests/slopes.rs
@@ -1,9 +1,9 @@
-//! `garnetwall-scale slopes` as a program: small experiments of every role, limits, and experiments that can't be used.
+//! Tests of `garnetwall-scale slopes`: small experiments of every role, limits, and experiments that can't be used.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// A directory that is deleted at the end of its test.
+/// A directory that is deleted when this is dropped.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -50,7 +50,7 @@
 "#;
 
 #[test]
-fn an_experiment_prints_fit_and_check_and_writes_its_results() {
+fn an_experiment_prints_the_fit_and_the_prediction_and_writes_results() {
     let scratch = Scratch::new("results");
     let results = scratch.0.join("ledger.jsonl");
     let output = slopes(&scratch.experiment(LEDGER), Some(&results));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_limit_on_what_the_role_does_not_measure_fails() {
+fn a_limit_on_a_metric_that_the_role_does_not_measure_fails() {
     let scratch = Scratch::new("foreign-limit");
     let text = format!("{LEDGER}\n[[limits]]\nmetric = \"query\"\nmost = 1.0\n");
     let output = slopes(&scratch.experiment(&text), None);
@@ -118,7 +118,7 @@
     );
 }
 
-/// Each role at sizes that take a second in a debug build.
+/// Each role is measured at sizes that take about a second in a debug build.
 #[test]
 fn every_role_is_measured() {
     let scratch = Scratch::new("roles");
@@ -146,7 +146,7 @@
     }
 }
 
-/// What does not depend on the machine is the same for the same seed.
+/// Values that do not depend on the machine are the same for the same seed.
 #[test]
 fn simulated_bytes_are_the_same_for_the_same_seed() {
     let scratch = Scratch::new("seed");
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn an_experiment_that_cannot_be_used_says_where_why_and_what_to_do() {
+fn an_invalid_experiment_is_reported_with_its_fault() {
     let scratch = Scratch::new("faults");
     let changed = |from: &str, to: &str| LEDGER.replace(from, to);
     let cases = [
@@ -227,9 +227,9 @@
     assert_eq!(missing.status.code(), Some(2));
 }
 
-/// A point that takes too long is ended and reported.
+/// A measurement that takes too long is ended and reported.
 #[test]
-fn a_point_times_out_at_its_limit() {
+fn a_point_that_exceeds_its_limit_is_reported() {
     let scratch = Scratch::new("slow");
     let text = "role = \"membership\"\nsweep = \"members\"\nsizes = [200, 300, 400, 500]\nruns = 1\nseed = 5\npoint-limit = 0.05\n";
     let output = slopes(&scratch.experiment(text), None);
@@ -238,9 +238,9 @@
     assert!(reported.contains("the point took over 50ms"), "{reported}");
 }
 
-/// The experiments that the pages quote can be read.
+/// The experiments that the documentation quotes can be read.
 #[test]
-fn all_experiments_on_slopes_are_sound() {
+fn all_slopes_experiments_in_the_repository_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
     let is_ours = |name: &str| name.starts_with("slopes-") || name.starts_with("module-");
     let files: Vec<PathBuf> = std::fs::read_dir(folder)
@@ -252,7 +252,7 @@
         .filter(|path| is_ours(&path.file_name().unwrap().to_string_lossy()));
     let mut count = 0;
     for path in ours {
-        // Times out at once: a fault of the file would be reported before.
+        // The run times out at once; a fault of the file would be reported before that.
         let text = std::fs::read_to_string(path).unwrap();
         let scratch = Scratch::new(&format!("sound-{count}"));
         let output = slopes(
--- a/crates/scale/tests/spread.rs
+++ b/crates/scale/tests/spread.rs
@@ -1,18 +1,19 @@
-//! `garnetwall-scale spread` from outside: its verdict, each injected fault found, bad experiments refused.
+//! Tests of `garnetwall-scale spread`: the verdict, the detection of each injected fault, and the rejection of invalid
+//! experiments.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
 const SMALL: &str = include_str!("../experiments/spread-small.toml");
 
-/// The small form with one seed and one size.
+/// The small experiment, reduced to one seed and one size.
 fn shorter() -> String {
     SMALL
         .replace("seeds = 2", "seeds = 1")
         .replace("[24, 48]", "[24]")
 }
 
-/// Writes an experiment of its own for a test.
+/// Writes an experiment into a separate file for a test.
 fn experiment(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("spread-{name}.toml"));
     std::fs::write(&path, text).expect("the directory for tests can be written");
@@ -33,7 +34,7 @@
     String::from_utf8(output.to_vec()).expect("the output is text")
 }
 
-/// The checks that failed, and the last line.
+/// Returns the checks that failed, and the last line of the output.
 fn verdict(output: &Output) -> (Vec<String>, String) {
     let stdout = text(&output.stdout);
     let failed = stdout
@@ -48,11 +49,11 @@
 }
 
 #[test]
-fn the_small_form_passes() {
+fn the_small_experiment_passes() {
     let output = spread(&experiment("passes", SMALL), &[]);
     let (failed, last) = verdict(&output);
     assert!(failed.is_empty(), "{failed:#?}");
-    // Two sizes, eight judged things each.
+    // Two sizes with eight checks each.
     assert_eq!(last, "16 passed, 0 failed");
     assert_eq!(output.status.code(), Some(0));
 }
@@ -65,7 +66,7 @@
         let results_text = results.to_str().expect("a plain path");
         spread(&path, &["--results", results_text, "--seed", seed]);
         let lines = std::fs::read_to_string(&results).expect("results are written");
-        // Processor time is measured anew.
+        // Processor time differs between runs.
         lines
             .lines()
             .filter(|line| !line.contains("choose-us"))
@@ -84,11 +85,11 @@
         std::fs::read_to_string(directory.join("spread-first-120x100.svg")).expect("a chart");
     assert!(
         chart.contains("rendezvous-equal"),
-        "the chart names its lines"
+        "the chart has no legend for rendezvous-equal"
     );
 }
 
-/// Each injected fault, and what the judge says of it.
+/// Each injected fault, and the checks that have to fail because of it.
 const INJECTED_FAULTS: [(&str, &[&str]); 6] = [
     (
         "unheld-engine",
@@ -137,7 +138,7 @@
     }
 }
 
-/// What is changed in the small form, and what the error has to name.
+/// Text of the small experiment, its replacement, and texts that the error has to contain.
 const BAD: [(&str, &str, &[&str]); 10] = [
     ("seeds = 2", "seeds = 0", &["seeds: 0", "1 to 1,024"]),
     ("seeds = 2", "sedes = 2", &["sedes", "seeds"]),
@@ -176,7 +177,7 @@
 ];
 
 #[test]
-fn bad_experiments_are_refused_with_place_and_remedy() {
+fn invalid_experiments_are_rejected_with_their_key() {
     for (index, (from, to, named)) in BAD.into_iter().enumerate() {
         assert!(SMALL.contains(from), "{from}");
         let path = experiment(&format!("bad-{index}"), &SMALL.replace(from, to));
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn an_experiment_that_is_not_there_is_reported_by_name() {
+fn a_missing_experiment_file_is_reported_by_name() {
     let output = spread(Path::new("no-such-experiment.toml"), &[]);
     assert_eq!(output.status.code(), Some(2));
     assert!(text(&output.stderr).contains("no-such-experiment.toml"));
@@ -203,5 +204,5 @@
         &["--results", "/proc/no/such/file.jsonl"],
     );
     assert_eq!(output.status.code(), Some(2));
-    assert!(output.stdout.is_empty(), "nothing was played");
+    assert!(output.stdout.is_empty(), "the experiment ran");
 }
