--- a/crates/scale/src/real_processes/change_log.rs
+++ b/crates/scale/src/real_processes/change_log.rs
@@ -81,7 +81,7 @@
     }
 
     /// Value of `known` in a gateway's configuration: the current list, with the number of the last event.
-    pub fn known(&self, gateway: usize) -> Value {
+    pub fn known_list(&self, gateway: usize) -> Value {
         let mut history = self.shared.history();
         let data = rendered_data(&history.whole(), self.shared.engine_ports[gateway]);
         let event_data: Value = serde_json::from_str(&data).unwrap_or(Value::Null);
@@ -143,7 +143,7 @@
 }
 
 fn notice(entry: &Value, number: u64, appended: f64) -> Option<Notice> {
-    if entry["state"] == State::Serving.word() {
+    if entry["state"] == State::Serving.name() {
         return None;
     }
     let (slot, generation) = entry["id"].as_str()?.strip_prefix('e')?.split_once('-')?;
--- a/crates/scale/src/real_processes/change_log/history.rs
+++ b/crates/scale/src/real_processes/change_log/history.rs
@@ -24,7 +24,7 @@
     pub last: u64,
     pub events: VecDeque<PublishedEvent>,
     /// Cache: the number of the last event and the data of a full-list event with that number.
-    whole: Option<(u64, String)>,
+    cached_whole_list: Option<(u64, String)>,
 }
 
 impl History {
@@ -35,7 +35,7 @@
             endpoint_list,
             last: 1,
             events: VecDeque::new(),
-            whole: Some((1, data)),
+            cached_whole_list: Some((1, data)),
         }
     }
 
@@ -50,11 +50,11 @@
 
     /// Data of an event that carries the whole list under the number of the last event.
     pub fn whole(&mut self) -> String {
-        match &self.whole {
+        match &self.cached_whole_list {
             Some((number, data)) if *number == self.last => data.clone(),
             _ => {
                 let data = event_data(self.last, true, &self.endpoint_list.entries());
-                self.whole = Some((self.last, data.clone()));
+                self.cached_whole_list = Some((self.last, data.clone()));
                 data
             }
         }
--- a/crates/scale/src/real_processes/change_log/reader.rs
+++ b/crates/scale/src/real_processes/change_log/reader.rs
@@ -59,7 +59,7 @@
                 .and_then(|value| value.to_str().ok()?.parse().ok());
             let (sender, body) = Channel::<Bytes, Infallible>::new(1);
             tokio::spawn(
-                Watch {
+                ReaderStream {
                     shared,
                     gateway,
                     last_number: last.unwrap_or(0),
@@ -75,14 +75,14 @@
 }
 
 /// State of one reader's stream.
-struct Watch {
+struct ReaderStream {
     shared: Arc<Shared>,
     gateway: Option<usize>,
     /// The number of the last event sent.
     last_number: u64,
 }
 
-impl Watch {
+impl ReaderStream {
     async fn feed(mut self, mut sender: Sender<Bytes, Infallible>) {
         let mut last = self.shared.last.subscribe();
         loop {
@@ -90,8 +90,8 @@
             if self.shared.faults.slow {
                 sleep(SLOW_LOG_DELAY).await;
             }
-            let due = joined(self.due());
-            self.count(due.len() as u64);
+            let due = join_frames(self.take_unsent());
+            self.count_bytes(due.len() as u64);
             if !matches!(
                 timeout(SLOW_READER_TIMEOUT, sender.send_data(due)).await,
                 Ok(Ok(()))
@@ -103,7 +103,7 @@
         }
     }
 
-    fn count(&self, bytes: u64) {
+    fn count_bytes(&self, bytes: u64) {
         let counter = match self.gateway {
             Some(gateway) => &self.shared.bytes_to_gateways[gateway],
             None => &self.shared.bytes_to_watchers,
@@ -113,7 +113,7 @@
 
     /// Returns the events that this reader has not been sent, or the whole list if some of them are no longer stored.
     /// Advances `last_number` to the last event.
-    fn due(&mut self) -> Vec<Bytes> {
+    fn take_unsent(&mut self) -> Vec<Bytes> {
         let shared = self.shared.clone();
         let mut history = shared.history();
         if self.last_number >= history.last {
@@ -125,7 +125,7 @@
             .map_or(history.last + 1, |event| event.number);
         let from = std::mem::replace(&mut self.last_number, history.last);
         if from + 1 < first {
-            return self.whole(&mut history);
+            return self.render_whole_list(&mut history);
         }
         let skip = (from + 1 - first) as usize;
         history
@@ -136,11 +136,11 @@
             .collect()
     }
 
-    fn whole(&self, history: &mut History) -> Vec<Bytes> {
+    fn render_whole_list(&self, history: &mut History) -> Vec<Bytes> {
         let port = self
             .gateway
             .map_or(0, |gateway| self.shared.engine_ports[gateway]);
-        self.delivered(history.last);
+        self.record_delivery(history.last);
         vec![frame(history.last, &rendered_data(&history.whole(), port))]
     }
 
@@ -152,14 +152,14 @@
             // An empty event keeps the numbers without gaps, so that only the change itself is missing.
             return frame(event.number, &json!({"seq": event.number}).to_string());
         }
-        self.delivered(event.number);
+        self.record_delivery(event.number);
         frame(
             event.number,
             &rendered_data(&event.data, self.shared.engine_ports[gateway]),
         )
     }
 
-    fn delivered(&self, number: u64) {
+    fn record_delivery(&self, number: u64) {
         let Some(gateway) = self.gateway else { return };
         let delivered_at = self.shared.recorder.now();
         self.shared
@@ -175,7 +175,7 @@
 }
 
 /// Concatenates the frames into one write; returns a comment if there are none.
-fn joined(frames: Vec<Bytes>) -> Bytes {
+fn join_frames(frames: Vec<Bytes>) -> Bytes {
     match <[Bytes; 1]>::try_from(frames) {
         Ok([one]) => one,
         Err(none) if none.is_empty() => Bytes::from_static(COMMENT),
--- a/crates/scale/src/real_processes/clients.rs
+++ b/crates/scale/src/real_processes/clients.rs
@@ -60,7 +60,7 @@
 }
 
 /// A query that is about to be sent.
-struct Planned {
+struct PlannedQuery {
     gateway: usize,
     class: QueryClass,
     key: Option<u64>,
@@ -98,10 +98,10 @@
             let _ = key.await;
         }
         let longest = Duration::from_millis(LIMIT_MS) + 2 * LATE_ANSWER_ALLOWANCE;
-        let _ = timeout(longest, self.all_answered()).await;
+        let _ = timeout(longest, self.wait_until_answered()).await;
     }
 
-    async fn all_answered(&self) {
+    async fn wait_until_answered(&self) {
         while self.open.load(Ordering::Relaxed) > 0 {
             sleep(OPEN_QUERIES_CHECK_INTERVAL).await;
         }
@@ -131,7 +131,7 @@
             let in_service = |n: &usize| self.gateways.in_service(*n);
             let all = (0..self.gateways.count()).map(|n| (first + n) % self.gateways.count());
             if let Some(gateway) = all.into_iter().find(in_service) {
-                let planned = Planned {
+                let planned = PlannedQuery {
                     gateway,
                     class: QueryClass::Report,
                     key: None,
@@ -151,7 +151,7 @@
             let pace = random.random_range(KEY_INTERVAL_MS[0]..=KEY_INTERVAL_MS[1]);
             let work = random.random_range(KEYED_WORK_MS[0]..=KEYED_WORK_MS[1]);
             if self.gateways.in_service(gateway) {
-                let planned = Planned {
+                let planned = PlannedQuery {
                     gateway,
                     class: QueryClass::Load,
                     key: Some(key),
@@ -163,7 +163,7 @@
         }
     }
 
-    fn spawn(self: Arc<Self>, planned: Planned) {
+    fn spawn(self: Arc<Self>, planned: PlannedQuery) {
         self.open.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
             self.query(planned).await;
@@ -171,7 +171,7 @@
         });
     }
 
-    async fn query(&self, planned: Planned) {
+    async fn query(&self, planned: PlannedQuery) {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let faulty = id.is_multiple_of(FAULTY_QUERY_INTERVAL);
         let late = faulty && self.injects(InjectedFault::LateAnswer);
@@ -191,7 +191,7 @@
         let (started_at, mut outcome) = self.send(id, &planned, request).await;
         let answered_at = self.recorder.now();
         if faulty {
-            outcome = self.inject_into(outcome);
+            outcome = self.inject_fault(outcome);
         }
         let limit = limit_ms as f64 / 1000.0;
         let (gateway, class, key) = (planned.gateway, planned.class, planned.key);
@@ -217,7 +217,7 @@
     async fn send(
         &self,
         id: u64,
-        planned: &Planned,
+        planned: &PlannedQuery,
         request: Request<Full<Bytes>>,
     ) -> (f64, Outcome) {
         let within = Duration::from_millis(LIMIT_MS) + LATE_ANSWER_ALLOWANCE;
@@ -247,7 +247,7 @@
     fn ended(
         &self,
         id: u64,
-        planned: &Planned,
+        planned: &PlannedQuery,
         connection: Connection,
         answer: Result<Response<Bytes>, CallError>,
     ) -> Outcome {
@@ -258,7 +258,7 @@
         outcome
     }
 
-    fn inject_into(&self, outcome: Outcome) -> Outcome {
+    fn inject_fault(&self, outcome: Outcome) -> Outcome {
         match outcome {
             Outcome::Succeeded { .. } if self.injects(InjectedFault::LostAnswer) => {
                 Outcome::Lost("injected fault".into())
--- a/crates/scale/src/real_processes/endpoint_list.rs
+++ b/crates/scale/src/real_processes/endpoint_list.rs
@@ -51,7 +51,7 @@
 
 impl State {
     /// Value of `state` in the change log.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             State::Serving => "SERVING",
             State::Draining => "DRAINING",
@@ -139,14 +139,14 @@
     }
 
     /// Changes the engine's weight, which has no effect on placement.
-    pub fn touch(&mut self, slot: usize) {
+    pub fn reweight(&mut self, slot: usize) {
         self.slots[slot].weight = self.slots[slot].weight % 8 + 1;
     }
 
     pub fn entry(&self, slot: usize) -> Value {
         let stored = self.slots[slot];
         json!({"id": self.engine(slot).to_string(), "addr": format!("{}:{PORT_PLACEHOLDER}", address(slot)),
-            "zone": format!("z{}", self.zone(slot)), "kind": "std", "cell": self.cell(slot), "state": stored.state.word(),
+            "zone": format!("z{}", self.zone(slot)), "kind": "std", "cell": self.cell(slot), "state": stored.state.name(),
             "weight": stored.weight, "started_ms": stored.started_ms})
     }
 
--- a/crates/scale/src/real_processes/engines.rs
+++ b/crates/scale/src/real_processes/engines.rs
@@ -40,7 +40,7 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A query that an engine has accepted and that has not been cancelled.
-struct Running {
+struct RunningQuery {
     /// Index into [`observations::Observations::attempts`].
     attempt: usize,
     ends: Instant,
@@ -59,7 +59,7 @@
 struct EngineState {
     generation: u32,
     /// Accepted queries by their id in `x-trace`.
-    queries: HashMap<String, Running>,
+    queries: HashMap<String, RunningQuery>,
 }
 
 impl Engine {
@@ -210,7 +210,7 @@
             (&Method::POST, ["c"]) => match Limited::new(body, MAX_STATEMENT_BYTES).collect().await
             {
                 Ok(statement) => {
-                    self.begin(slot, gateway, &head.headers, &statement.to_bytes())
+                    self.start_attempt(slot, gateway, &head.headers, &statement.to_bytes())
                         .await
                 }
                 Err(_) => answer(StatusCode::BAD_REQUEST),
@@ -238,7 +238,7 @@
     }
 
     /// Starts an attempt, and answers as to its first poll; declines the attempt where the injected fault says so.
-    async fn begin(
+    async fn start_attempt(
         &self,
         slot: usize,
         gateway: usize,
@@ -249,7 +249,7 @@
             .get("x-trace")
             .and_then(|id| id.to_str().ok())
             .unwrap_or_default();
-        let (Ok(query), Some(work)) = (u64::from_str_radix(id, 16), work_of(statement)) else {
+        let (Ok(query), Some(work)) = (u64::from_str_radix(id, 16), parse_work(statement)) else {
             return answer(StatusCode::BAD_REQUEST);
         };
         let declined = self
@@ -297,7 +297,7 @@
         }
         let rows = Bytes::from(format!("{engine}\t{id}\tend\n"));
         let now = Instant::now();
-        let running = Running {
+        let running = RunningQuery {
             attempt,
             ends: now + work,
             polled_at: now,
@@ -374,7 +374,7 @@
 }
 
 /// Reads the work from a statement; `None` if the statement has no such comment.
-fn work_of(statement: &[u8]) -> Option<Duration> {
+fn parse_work(statement: &[u8]) -> Option<Duration> {
     let text = std::str::from_utf8(statement).ok()?;
     let (_, rest) = text.split_once(WORK_PREFIX)?;
     rest.split(' ')
--- a/crates/scale/src/real_processes/gateways.rs
+++ b/crates/scale/src/real_processes/gateways.rs
@@ -91,7 +91,7 @@
     child: Mutex<Option<Child>>,
     /// Usage at the last reset, from which processor time is counted. It belongs to the current process; the processor
     /// time of earlier processes of this gateway is not known.
-    first: std::sync::Mutex<Usage>,
+    usage_at_reset: std::sync::Mutex<Usage>,
 }
 
 /// All real gateways of a run. Dropping this kills their processes.
@@ -122,7 +122,7 @@
             address: listen_address(n),
             in_service: AtomicBool::new(false),
             child: Mutex::new(None),
-            first: std::sync::Mutex::default(),
+            usage_at_reset: std::sync::Mutex::default(),
         };
         Gateways {
             gateways: (0..experiment.gateways).map(gateway).collect(),
@@ -165,7 +165,7 @@
             "seed": format!("{:016x}", 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(gateway as u64 + 1)),
             "limits": {"sockets": self.sockets, "memory_mb": self.memory_mb},
             "changelog": address_for_gateway(gateway, log.port).to_string(),
-            "known": log.known(gateway), "settings": self.settings});
+            "known": log.known_list(gateway), "settings": self.settings});
         if let Some(size) = self.subset_size {
             config["subset"] = json!({"size": size});
         }
@@ -193,7 +193,7 @@
         }
         *child = Some(self.spawn(&file, output)?);
         drop(child);
-        let ready = timeout(READY_TIMEOUT, self.healthy(gateway)).await;
+        let ready = timeout(READY_TIMEOUT, self.wait_until_healthy(gateway)).await;
         ready.map_err(|_| GatewayError::NeverReady {
             gateway,
             log: log_file,
@@ -226,7 +226,7 @@
     }
 
     /// Waits until the gateway reports itself healthy.
-    async fn healthy(&self, gateway: usize) -> Result<(), GatewayError> {
+    async fn wait_until_healthy(&self, gateway: usize) -> Result<(), GatewayError> {
         while !http_client::is_healthy(self.address(gateway)).await {
             let mut child = self.gateways[gateway].child.lock().await;
             if let Some(Ok(Some(status))) = child.as_mut().map(Child::try_wait) {
@@ -243,7 +243,7 @@
     }
 
     /// Returns the id of the running process.
-    async fn process(&self, gateway: usize) -> Option<u32> {
+    async fn process_id(&self, gateway: usize) -> Option<u32> {
         self.gateways[gateway]
             .child
             .lock()
@@ -254,14 +254,14 @@
 
     /// Returns the current resource usage of the gateway's process; `None` if none runs.
     pub async fn usage(&self, gateway: usize) -> Option<Usage> {
-        Usage::of(self.process(gateway).await?)
+        Usage::of(self.process_id(gateway).await?)
     }
 
     /// Restarts the count of the gateway's processor time.
     pub async fn reset_processor_time(&self, gateway: usize) {
         let usage = self.usage(gateway).await.unwrap_or_default();
         *self.gateways[gateway]
-            .first
+            .usage_at_reset
             .lock()
             .unwrap_or_else(|e| e.into_inner()) = usage;
     }
@@ -269,16 +269,16 @@
     /// Processor time of the gateway's process, in seconds, since the last reset.
     pub async fn processor_seconds(&self, gateway: usize) -> Option<f64> {
         let now = self.usage(gateway).await?;
-        let first = *self.gateways[gateway]
-            .first
+        let usage_at_reset = *self.gateways[gateway]
+            .usage_at_reset
             .lock()
             .unwrap_or_else(|e| e.into_inner());
-        Some(now.processor_seconds - first.processor_seconds)
+        Some(now.processor_seconds - usage_at_reset.processor_seconds)
     }
 
     /// Sends a signal to the gateway's process; does nothing if none runs.
     async fn signal(&self, gateway: usize, kind: Signal) -> Result<(), GatewayError> {
-        let Some(process) = self.process(gateway).await else {
+        let Some(process) = self.process_id(gateway).await else {
             return Ok(());
         };
         let log = self.log_file(gateway);
--- a/crates/scale/src/real_processes/script.rs
+++ b/crates/scale/src/real_processes/script.rs
@@ -69,7 +69,7 @@
             Action::EnginesReplaced { count } => self.start_replacements(&self.kill(count)),
             Action::EnginesRestarted { count, down } => {
                 let slots = self.kill(count);
-                pause(down).await;
+                sleep_seconds(down).await;
                 self.start_replacements(&slots);
             }
             Action::ZoneLost { zone, report_delay } => {
@@ -114,7 +114,7 @@
     }
 
     async fn publish_deleted_after(&self, slots: &[usize], delay: f64) {
-        pause(delay).await;
+        sleep_seconds(delay).await;
         self.publish(slots, |endpoint_list, slot| {
             endpoint_list.set_state(slot, State::Deleted)
         });
@@ -146,7 +146,7 @@
         self.publish(&slots, |endpoint_list, slot| {
             endpoint_list.set_state(slot, State::Draining)
         });
-        pause(removal_delay).await;
+        sleep_seconds(removal_delay).await;
         self.kill_slots(&slots);
         self.publish(&slots, |endpoint_list, slot| {
             endpoint_list.set_state(slot, State::Deleted)
@@ -162,8 +162,8 @@
             .as_millis() as u64;
         self.set_health(slots, Health::Up);
         self.test_bed.log.change(|endpoint_list| {
-            let start_replacements = |slot: &usize| replacement(endpoint_list, *slot, now);
-            slots.iter().flat_map(start_replacements).collect()
+            let replace = |slot: &usize| replacement(endpoint_list, *slot, now);
+            slots.iter().flat_map(replace).collect()
         });
     }
 
@@ -181,8 +181,8 @@
         let slots = self.test_bed.log.endpoint_list().serving();
         for slot in slots.iter().cycle().take(count) {
             // Another event may have changed the slot's state meanwhile; the entry is published with its current state.
-            self.publish(&[*slot], |endpoint_list, slot| endpoint_list.touch(slot));
-            pause(spread_over / count as f64).await;
+            self.publish(&[*slot], |endpoint_list, slot| endpoint_list.reweight(slot));
+            sleep_seconds(spread_over / count as f64).await;
         }
     }
 }
@@ -200,6 +200,6 @@
         .collect()
 }
 
-async fn pause(seconds: f64) {
+async fn sleep_seconds(seconds: f64) {
     sleep(Duration::from_secs_f64(seconds)).await;
 }
--- a/crates/scale/src/real_processes/sweeps.rs
+++ b/crates/scale/src/real_processes/sweeps.rs
@@ -29,7 +29,7 @@
 /// Time for which a change log without changes is measured.
 const IDLE_TIME: Duration = Duration::from_secs(4);
 /// Number of changes published at once.
-const BURST: usize = 100;
+const BURST_CHANGES: usize = 100;
 const CONNECTED_TIMEOUT: Duration = Duration::from_secs(30);
 const SEEN_TIMEOUT: Duration = Duration::from_secs(60);
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -119,7 +119,7 @@
     let gateways = &test_bed.gateways;
     started.register(gateways);
     gateways.start(0, &test_bed.log).await?;
-    let connections = open(gateways, count).await;
+    let connections = open_connections(gateways, count).await;
     sleep(SETTLE_TIME).await;
     let usage = gateways.usage(0).await.unwrap_or_default();
     let open = connections.iter().filter(|one| !one.is_closed()).count();
@@ -135,12 +135,12 @@
 }
 
 /// Opens `count` connections on which one call was answered; returns fewer after the first failure.
-async fn open(gateways: &Arc<Gateways>, count: usize) -> Vec<Connection> {
+async fn open_connections(gateways: &Arc<Gateways>, count: usize) -> Vec<Connection> {
     let mut connections = Vec::with_capacity(count);
     while connections.len() < count {
         let opening_now = (count - connections.len()).min(CONNECTS_AT_ONCE);
         let opening: Vec<_> = (0..opening_now)
-            .map(|_| tokio::spawn(answered_once(gateways.address(0))))
+            .map(|_| tokio::spawn(connect_and_call(gateways.address(0))))
             .collect();
         for one in opening {
             match one.await {
@@ -152,7 +152,7 @@
     connections
 }
 
-async fn answered_once(address: std::net::SocketAddr) -> Option<Connection> {
+async fn connect_and_call(address: std::net::SocketAddr) -> Option<Connection> {
     let mut connection = http_client::connect(address).await.ok()?;
     http_client::call(&mut connection, http_client::get("/healthz"), CALL_TIMEOUT)
         .await
@@ -184,9 +184,9 @@
         sleep(IDLE_TIME).await;
         let idle = (self.log.processor_seconds() - before) / IDLE_TIME.as_secs_f64();
         figures.push(figure("idle_processor_share", idle));
-        let single_entry = self.cost(|log| touch(log, 0)).await;
+        let single_entry = self.cost(|log| reweight(log, 0)).await;
         let burst = self
-            .cost(|log| (0..BURST).for_each(|slot| touch(log, slot)))
+            .cost(|log| (0..BURST_CHANGES).for_each(|slot| reweight(log, slot)))
             .await;
         let whole_list = self.cost(ChangeLog::publish_whole_list).await;
         for (name, cost) in [
@@ -208,7 +208,7 @@
         let (processor, bytes) = (self.log.processor_seconds(), self.log.bytes_to_watchers());
         let before = self.recorder.observations().changes.len();
         act(&self.log);
-        self.all_seen().await;
+        self.wait_until_seen().await;
         let observations = self.recorder.observations();
         let seen = observations.changes[before..]
             .iter()
@@ -224,7 +224,7 @@
     }
 
     /// Waits until every watcher has received every change, at most [`SEEN_TIMEOUT`].
-    async fn all_seen(&self) {
+    async fn wait_until_seen(&self) {
         let until = Instant::now() + SEEN_TIMEOUT;
         let all = |recorder: &Recorder| {
             recorder
@@ -268,10 +268,10 @@
 }
 
 /// Publishes a change of one entry that has no effect on placement.
-fn touch(log: &ChangeLog, slot: usize) {
+fn reweight(log: &ChangeLog, slot: usize) {
     log.change(|endpoint_list| {
         let slot = slot % endpoint_list.len();
-        endpoint_list.touch(slot);
+        endpoint_list.reweight(slot);
         vec![endpoint_list.entry(slot)]
     });
 }
