--- a/crates/scale/src/slopes/experiment.rs
+++ b/crates/scale/src/slopes/experiment.rs
@@ -26,7 +26,7 @@
     pub runs: u32,
     pub seed: u64,
     /// Timeout for the measurement of one point, in seconds.
-    #[serde(default = "usual_point_limit")]
+    #[serde(default = "default_point_limit")]
     pub point_limit: f64,
     /// Values of the quantities that are not swept.
     #[serde(default)]
@@ -36,7 +36,7 @@
     pub limits: Vec<Limit>,
 }
 
-fn usual_point_limit() -> f64 {
+fn default_point_limit() -> f64 {
     300.0
 }
 
--- a/crates/scale/src/slopes/roles/configuration.rs
+++ b/crates/scale/src/slopes/roles/configuration.rs
@@ -1,7 +1,7 @@
 //! Role `configuration`: reads and checks a configuration file, as a gateway does at start and on reload.
 
 use super::pool::{kind_name, log_event, whole_list, zone_name, KIND_CORES, ZONES};
-use super::stopwatch::{growth, timed};
+use super::stopwatch::{memory_growth, timed};
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
@@ -23,7 +23,7 @@
             plan: None,
         };
         let (resident, (read, config)) =
-            growth(|| timed(|| configuration::read(files(), |_| None)))?;
+            memory_growth(|| timed(|| configuration::read(files(), |_| None)))?;
         config.map_err(|error| RoleError::Data(error.to_string()))?;
         Ok(vec![
             Measured::new(Metric::Read, read),
--- a/crates/scale/src/slopes/roles/leases.rs
+++ b/crates/scale/src/slopes/roles/leases.rs
@@ -1,6 +1,6 @@
 //! Role `leases`: a lease issuer whose members renew their leases.
 
-use super::stopwatch::{growth, repeated};
+use super::stopwatch::{memory_growth, timed_repeatedly};
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
@@ -30,7 +30,7 @@
         };
         let mut issuer = LeaseIssuer::start(Duration::ZERO, 0, 1, &terms, limits);
         let begin = LEASE_LENGTH * 2;
-        let (resident, refused) = growth(|| {
+        let (resident, refused) = memory_growth(|| {
             let first = |member: u64| {
                 issuer
                     .handle_request(begin, &lease_request(member, 1, true))
@@ -45,7 +45,7 @@
         }
         // All members renew in turn, evenly spread over a quarter of the term.
         let step = TERM_LENGTH.as_nanos() as u64 / RENEWALS_PER_TERM / members;
-        let renewal = repeated(|repeat| {
+        let renewal = timed_repeatedly(|repeat| {
             let now = begin + Duration::from_nanos(step * repeat);
             issuer.handle_request(
                 now,
--- a/crates/scale/src/slopes/roles/ledger.rs
+++ b/crates/scale/src/slopes/roles/ledger.rs
@@ -1,6 +1,6 @@
 //! Role `ledger`: the ledger of open attempts.
 
-use super::stopwatch::{growth, repeated};
+use super::stopwatch::{memory_growth, timed_repeatedly};
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
@@ -25,13 +25,13 @@
     fn measure(&self, point: &Point) -> Result<Vec<Measured>, RoleError> {
         let open = point.quantities.open_attempts;
         let now = Duration::from_secs(1);
-        let (resident, (mut ledger, mut attempts)) = growth(|| {
+        let (resident, (mut ledger, mut attempts)) = memory_growth(|| {
             let mut ledger = Ledger::new(PROTOCOL_LIMITS);
             let attempts: Vec<AttemptId> = (0..open).map(|_| begin(&mut ledger, now)).collect();
             (ledger, attempts)
         })?;
         // One attempt ends and another begins, so that the number of open attempts stays constant.
-        let attempt = repeated(|repeat| {
+        let attempt = timed_repeatedly(|repeat| {
             let slot = &mut attempts[(repeat % open) as usize];
             ledger.record(now, *slot, Evidence::Ended);
             black_box(ledger.next_cancel_step(now, *slot));
--- a/crates/scale/src/slopes/roles/list.rs
+++ b/crates/scale/src/slopes/roles/list.rs
@@ -2,7 +2,7 @@
 
 use super::gateway_list::GatewayList;
 use super::pool;
-use super::stopwatch::{each, growth, repeated, timed};
+use super::stopwatch::{memory_growth, timed, timed_each, timed_repeatedly};
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
@@ -21,12 +21,12 @@
         let changed = engine_changes(engines);
         let list = GatewayList::new(&point.quantities)?;
         // The event is dropped once it has been applied, as in the gateway.
-        let (resident, times) = growth(|| first_list(&list, &text))?;
+        let (resident, times) = memory_growth(|| first_list(&list, &text))?;
         let (decode_list, first_list) = times?;
         let whole = list.decode(&text)?;
-        let whole_list = each(vec![whole; WHOLE_LISTS], |event| list.apply(event));
+        let whole_list = timed_each(vec![whole; WHOLE_LISTS], |event| list.apply(event));
         let entry = |repeat: u64| &changed[repeat as usize % changed.len()];
-        let decode_entry = repeated(|repeat| list.decode(entry(repeat)));
+        let decode_entry = timed_repeatedly(|repeat| list.decode(entry(repeat)));
         let events = changed
             .iter()
             .map(|text| list.decode(text))
@@ -37,7 +37,7 @@
             .take(CHANGED_ENTRIES)
             .cloned()
             .collect();
-        let changed_entry = each(events, |event| list.apply(event));
+        let changed_entry = timed_each(events, |event| list.apply(event));
         Ok(vec![
             Measured::new(Metric::ListBytes, text.len() as f64),
             Measured::new(Metric::LineBytes, changed[0].len() as f64),
--- a/crates/scale/src/slopes/roles/membership.rs
+++ b/crates/scale/src/slopes/roles/membership.rs
@@ -1,6 +1,6 @@
 //! Role `membership`: all members in one process and simulated time, over a network that may lose messages.
 
-use super::stopwatch::{growth, timed};
+use super::stopwatch::{memory_growth, timed};
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
@@ -32,7 +32,7 @@
         let span = (point.quantities.seconds * 1000.0) as u64;
         // The members discover each other before the measurement.
         let settling = (point.quantities.settling * 1000.0) as u64;
-        let (resident, mut network) = growth(|| {
+        let (resident, mut network) = memory_growth(|| {
             let mut network = Network::start(members, point.quantities.loss, point.seed);
             network.advance(settling);
             network
--- a/crates/scale/src/slopes/roles/module/engines.rs
+++ b/crates/scale/src/slopes/roles/module/engines.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns all endpoints of the module.
-    pub fn whole(&mut self) -> Vec<Endpoint> {
+    pub fn all_endpoints(&mut self) -> Vec<Endpoint> {
         match self.subset.as_mut() {
             None => (0..self.engines)
                 .map(|number| endpoint(pool::engine(number), EndpointState::Ready))
@@ -62,7 +62,7 @@
     pub fn apply_whole_list_again(&mut self) -> EndpointUpdates {
         match self.subset.as_mut() {
             None => EndpointUpdates {
-                endpoints: self.whole(),
+                endpoints: self.all_endpoints(),
                 scope: ListScope::Full,
             },
             Some(members) => {
@@ -148,11 +148,11 @@
     fn carry_out(&mut self, actions: &[Action]) -> Vec<Endpoint> {
         actions
             .iter()
-            .filter_map(|action| self.carry_out_one(action))
+            .filter_map(|action| self.carry_out_action(action))
             .collect()
     }
 
-    fn carry_out_one(&mut self, action: &Action) -> Option<Endpoint> {
+    fn carry_out_action(&mut self, action: &Action) -> Option<Endpoint> {
         match *action {
             Action::Connect(_) => None,
             Action::Join { engine, holders } | Action::Update { engine, holders } => {
--- a/crates/scale/src/slopes/roles/module/mod.rs
+++ b/crates/scale/src/slopes/roles/module/mod.rs
@@ -4,7 +4,7 @@
 mod simulation;
 mod workload;
 
-use super::stopwatch::{growth, repeated, timed};
+use super::stopwatch::{memory_growth, timed, timed_repeatedly};
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
@@ -20,7 +20,7 @@
         let engines = ListedEngines::new(quantities)?;
         let settings = workload::settings(quantities);
         let (resident, (first_list, mut simulation)) =
-            growth(|| timed(|| Simulation::new(point, settings, engines)))?;
+            memory_growth(|| timed(|| Simulation::new(point, settings, engines)))?;
         // The module learns the load of its engines before the measurement.
         simulation.run(quantities.settling);
         let (admitted_before, placements_before) =
@@ -29,8 +29,8 @@
         let queries = (simulation.queries_admitted - admitted_before).max(1) as f64;
         let placements = (simulation.placements - placements_before) as f64;
         simulation.check()?;
-        let whole_list = repeated(|_| simulation.update_whole_list());
-        let changed_entry = repeated(|repeat| simulation.change_endpoint(repeat));
+        let whole_list = timed_repeatedly(|_| simulation.update_whole_list());
+        let changed_entry = timed_repeatedly(|repeat| simulation.change_endpoint(repeat));
         Ok(vec![
             Measured::new(Metric::Query, spent / queries),
             Measured::new(Metric::CoreShare, spent / quantities.seconds / 1e6 * 100.0),
--- a/crates/scale/src/slopes/roles/module/simulation.rs
+++ b/crates/scale/src/slopes/roles/module/simulation.rs
@@ -84,7 +84,7 @@
 impl Simulation {
     pub fn new(point: &Point, settings: Settings, mut engines: ListedEngines) -> Self {
         let mut controller = AdmissionController::new(settings, point.seed, START_SECONDS);
-        let endpoints = engines.whole();
+        let endpoints = engines.all_endpoints();
         controller.update_endpoints(&endpoints, ListScope::Full);
         let mut simulation = Simulation {
             controller,
--- a/crates/scale/src/slopes/roles/stopwatch.rs
+++ b/crates/scale/src/slopes/roles/stopwatch.rs
@@ -19,7 +19,7 @@
 
 /// Repeats `work` and returns its mean processor time, in microseconds. The argument of `work` is the number of earlier
 /// repeats.
-pub fn repeated<T>(mut work: impl FnMut(u64) -> T) -> f64 {
+pub fn timed_repeatedly<T>(mut work: impl FnMut(u64) -> T) -> f64 {
     let before = process::processor_time();
     let mut repeats = 0;
     loop {
@@ -33,7 +33,7 @@
 }
 
 /// Returns the mean processor time of `work` per item, in microseconds, without the time to create the items.
-pub fn each<I, T>(items: Vec<I>, mut work: impl FnMut(I) -> T) -> f64 {
+pub fn timed_each<I, T>(items: Vec<I>, mut work: impl FnMut(I) -> T) -> f64 {
     let count = items.len().max(1) as f64;
     let (spent, ()) = timed(|| {
         items
@@ -48,7 +48,7 @@
 /// # Errors
 ///
 /// The system does not report the resident memory.
-pub fn growth<T>(work: impl FnOnce() -> T) -> io::Result<(f64, T)> {
+pub fn memory_growth<T>(work: impl FnOnce() -> T) -> io::Result<(f64, T)> {
     let before = process::resident_bytes()?;
     let result = work();
     let after = process::resident_bytes()?;
--- a/crates/scale/src/slopes/roles/subset.rs
+++ b/crates/scale/src/slopes/roles/subset.rs
@@ -1,7 +1,7 @@
 //! Role `subset`: the catalog and the choice of a subset.
 
 use super::pool;
-use super::stopwatch::{growth, repeated, timed};
+use super::stopwatch::{memory_growth, timed, timed_repeatedly};
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
@@ -93,19 +93,19 @@
         };
         let listed = listed_engines(engines);
         let (resident, (first_list, chosen)) =
-            growth(|| timed(|| SettledSubset::new(engines, gateways, size)))?;
+            memory_growth(|| timed(|| SettledSubset::new(engines, gateways, size)))?;
         let mut chosen = chosen?;
         let members: Vec<f64> = chosen
             .subset
             .members()
             .map(|(_, holders)| holders)
             .collect();
-        let whole_list = repeated(|_| chosen.apply(&listed, UpdateScope::FullList));
-        let changed_entry = repeated(|repeat| {
+        let whole_list = timed_repeatedly(|_| chosen.apply(&listed, UpdateScope::FullList));
+        let changed_entry = timed_repeatedly(|repeat| {
             chosen.apply(&[changed(engines, repeat)], UpdateScope::ChangedEngines)
         });
         let (additional, _additional_subsets) =
-            growth(|| additional_subsets(&chosen.catalog, gateways, size))?;
+            memory_growth(|| additional_subsets(&chosen.catalog, gateways, size))?;
         Ok(vec![
             Measured::new(Metric::FirstList, first_list),
             Measured::new(Metric::WholeList, whole_list),
