--- a/crates/scale/src/subset_comparison/experiment.rs
+++ b/crates/scale/src/subset_comparison/experiment.rs
@@ -22,7 +22,7 @@
     /// Number of seeds that each case runs with.
     pub seeds: usize,
     /// Number of threads that choose subsets concurrently.
-    #[serde(default = "one")]
+    #[serde(default = "default_threads")]
     pub threads: usize,
     /// Strategies to compare; by default all.
     #[serde(rename = "ways", default = "StrategyName::all")]
@@ -125,7 +125,7 @@
     pub connection_idle_s: f64,
 }
 
-fn one() -> usize {
+fn default_threads() -> usize {
     1
 }
 
--- a/crates/scale/src/subset_comparison/measure.rs
+++ b/crates/scale/src/subset_comparison/measure.rs
@@ -223,9 +223,9 @@
         let staying_by_kind = count_by_kind(staying, &self.kinds);
         let of_kind = |kind: &u32| {
             let kind = *kind as usize;
-            let there = self.count_by_kind.get(kind).copied().unwrap_or(0);
+            let present = self.count_by_kind.get(kind).copied().unwrap_or(0);
             let staying = staying_by_kind.get(kind).copied().unwrap_or(0);
-            required.classes.floor.min(there).saturating_sub(staying)
+            required.classes.floor.min(present).saturating_sub(staying)
         };
         let of_kinds: usize = required.classes.kinds.iter().map(of_kind).sum();
         of_size.max(of_kinds)
--- a/crates/scale/src/subset_comparison/strategies/index_rounds.rs
+++ b/crates/scale/src/subset_comparison/strategies/index_rounds.rs
@@ -12,7 +12,7 @@
     /// Numbers without gaps, which are reassigned when a gateway leaves.
     Compact,
     /// Permanent numbers; gateways that left leave gaps.
-    Kept,
+    Permanent,
 }
 
 /// Rounds over shuffled lists. A round is ordered by a hash, so that a change of the list changes the order least.
@@ -31,7 +31,7 @@
             .map(|(rank, gateway)| {
                 let number = match self.numbering {
                     Numbering::Compact => rank,
-                    Numbering::Kept => gateway.number as usize,
+                    Numbering::Permanent => gateway.number as usize,
                 };
                 let round = number / subsets_in_round;
                 let order = rounds
--- a/crates/scale/src/subset_comparison/strategies/mod.rs
+++ b/crates/scale/src/subset_comparison/strategies/mod.rs
@@ -41,7 +41,7 @@
             numbering: Numbering::Compact,
         }),
         StrategyName::IndexKept => Box::new(IndexRounds {
-            numbering: Numbering::Kept,
+            numbering: Numbering::Permanent,
         }),
         StrategyName::Ring => Box::new(VirtualNodeRing {
             points_per_core: experiment.ring.points_per_core,
--- a/crates/scale/src/subset_comparison/strategies/subset_crate.rs
+++ b/crates/scale/src/subset_comparison/strategies/subset_crate.rs
@@ -110,7 +110,7 @@
     }
 
     fn assignment(&self, population: &Population) -> Assignment {
-        let there: HashSet<u32> = population
+        let present: HashSet<u32> = population
             .gateways
             .iter()
             .map(|gateway| gateway.number)
@@ -122,7 +122,7 @@
         for gateway in self
             .gateways
             .iter()
-            .filter(|gateway| there.contains(&gateway.number))
+            .filter(|gateway| present.contains(&gateway.number))
         {
             let number = |(key, holders)| (self.numbers[&key], holders);
             let mut members: Vec<(u32, f64)> = gateway.subset.members().map(number).collect();
