--- a/crates/scale/src/real_processes/tests.rs
+++ b/crates/scale/src/real_processes/tests.rs
@@ -106,14 +106,14 @@
         query(1, QueryClass::Load, 0.0, 0.9),
         query(2, QueryClass::Load, 0.1, 0.9),
     ];
-    let together = vec![attempt(1, 0.2, 0.6), attempt(2, 0.5, 0.8)];
+    let overlapping = vec![attempt(1, 0.2, 0.6), attempt(2, 0.5, 0.8)];
     assert_eq!(
-        failed(&observations(queries.clone(), together)),
+        failed(&observations(queries.clone(), overlapping)),
         ["one at a time for each key"]
     );
-    let turned = vec![attempt(2, 0.2, 0.4), attempt(1, 0.5, 0.8)];
+    let reversed = vec![attempt(2, 0.2, 0.4), attempt(1, 0.5, 0.8)];
     assert_eq!(
-        failed(&observations(queries, turned)),
+        failed(&observations(queries, reversed)),
         ["one at a time for each key"]
     );
 }
@@ -196,10 +196,10 @@
         "x".repeat(500)
     );
     for size in [1, 3, 64, 4096] {
-        let mut lines = EventNumberParser::default();
+        let mut parser = EventNumberParser::default();
         let parts = stream.as_bytes().chunks(size);
         let numbers: Vec<u64> = parts
-            .flat_map(|part| lines.feed(&Bytes::copy_from_slice(part)))
+            .flat_map(|part| parser.feed(&Bytes::copy_from_slice(part)))
             .collect();
         assert_eq!(numbers, [7, 8]);
     }
@@ -249,12 +249,14 @@
     let files = std::fs::read_dir(folder)
         .unwrap()
         .map(|file| file.unwrap().path());
-    let ours = files.filter(|file| {
+    let beside_files = files.filter(|file| {
         file.file_name()
             .unwrap()
             .to_string_lossy()
             .starts_with("beside")
     });
-    let read: Vec<Experiment> = ours.map(|file| Experiment::read(&file).unwrap()).collect();
+    let read: Vec<Experiment> = beside_files
+        .map(|file| Experiment::read(&file).unwrap())
+        .collect();
     assert!(!read.is_empty());
 }
--- a/crates/scale/tests/beside.rs
+++ b/crates/scale/tests/beside.rs
@@ -11,7 +11,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_garnetwall-scale");
 /// Timeout for a run. Runs of these tests take much less, so only a hanging run exceeds it.
-const OVER_WITHIN: Duration = Duration::from_secs(120);
+const RUN_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Returns the path of the gateway's program, which is built into this test's target folder if it does not exist.
 fn gateway_binary() -> &'static Path {
@@ -47,7 +47,7 @@
     assert!(build.status().unwrap().success());
 }
 
-fn small_form() -> PathBuf {
+fn small_experiment() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/beside-small.toml")
 }
 
@@ -81,10 +81,10 @@
     let mut child = start(experiment, binary);
     let began = Instant::now();
     while child.try_wait().unwrap().is_none() {
-        if began.elapsed() > OVER_WITHIN {
+        if began.elapsed() > RUN_TIMEOUT {
             child.kill().unwrap();
             panic!(
-                "{} did not finish within {OVER_WITHIN:?}",
+                "{} did not finish within {RUN_TIMEOUT:?}",
                 experiment.display()
             );
         }
@@ -94,7 +94,7 @@
 }
 
 /// An experiment without an injected fault, with the bounds of the tests that inject one.
-const FAULTLESS: &str = "seed = 3
+const FAULT_FREE: &str = "seed = 3
 gateways = 2
 engines = 24
 watchers = 20
@@ -126,57 +126,65 @@
 
 #[test]
 fn the_fault_free_experiment_passes() {
-    let output = run(&experiment("faultless", FAULTLESS), gateway_binary());
-    let shown = String::from_utf8_lossy(&output.stdout);
+    let output = run(&experiment("fault-free", FAULT_FREE), gateway_binary());
+    let stdout_text = String::from_utf8_lossy(&output.stdout);
     assert_eq!(
         output.status.code(),
         Some(0),
-        "{shown}{}",
+        "{stdout_text}{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    assert_eq!(shown.lines().last(), Some("14 passed, 0 failed"), "{shown}");
+    assert_eq!(
+        stdout_text.lines().last(),
+        Some("14 passed, 0 failed"),
+        "{stdout_text}"
+    );
 }
 
-/// Runs an experiment with `fault` and asserts that the judgement `broken` fails.
-fn assert_finds(fault: &str, more: &str, broken: &str) {
+/// Runs an experiment with `fault` and asserts that `judgement` fails.
+fn assert_finds(fault: &str, more: &str, judgement: &str) {
     let text = format!(
         "seed = 3\ngateways = 2\nengines = 24\nwatchers = 20\nqueries_per_second = 40.0\nkeys = 4\nslip = '{fault}'\n{more}"
     );
-    assert_finds_in(fault, &text, gateway_binary(), broken);
+    assert_finds_in(fault, &text, gateway_binary(), judgement);
 }
 
-/// Runs an experiment and asserts that the judgement `broken` fails and that the exit code is 1.
-fn assert_finds_in(name: &str, text: &str, binary: &Path, broken: &str) {
+/// Runs an experiment and asserts that `judgement` fails and that the exit code is 1.
+fn assert_finds_in(name: &str, text: &str, binary: &Path, judgement: &str) {
     let output = run(&experiment(name, text), binary);
-    let shown = String::from_utf8_lossy(&output.stdout);
+    let stdout_text = String::from_utf8_lossy(&output.stdout);
     assert_eq!(
         output.status.code(),
         Some(1),
-        "{shown}{}",
+        "{stdout_text}{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    let verdict = format!("FAIL {broken}");
+    let verdict = format!("FAIL {judgement}");
     assert!(
-        shown.lines().any(|line| line.starts_with(&verdict)),
-        "{shown}"
+        stdout_text.lines().any(|line| line.starts_with(&verdict)),
+        "{stdout_text}"
     );
     assert!(
-        shown.lines().last().unwrap().ends_with(" failed"),
-        "{shown}"
+        stdout_text.lines().last().unwrap().ends_with(" failed"),
+        "{stdout_text}"
     );
 }
 
 #[test]
 fn the_small_experiment_passes() {
-    let output = run(&small_form(), gateway_binary());
-    let shown = String::from_utf8_lossy(&output.stdout);
+    let output = run(&small_experiment(), gateway_binary());
+    let stdout_text = String::from_utf8_lossy(&output.stdout);
     assert_eq!(
         output.status.code(),
         Some(0),
-        "{shown}{}",
+        "{stdout_text}{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    assert_eq!(shown.lines().last(), Some("11 passed, 0 failed"), "{shown}");
+    assert_eq!(
+        stdout_text.lines().last(),
+        Some("11 passed, 0 failed"),
+        "{stdout_text}"
+    );
 }
 
 #[test]
@@ -275,19 +283,19 @@
 }
 
 /// An experiment without an injected fault and without bounds.
-const WITHOUT_SLIP: &str =
+const WITHOUT_FAULT: &str =
     "seed = 3\ngateways = 2\nengines = 24\nwatchers = 5\nqueries_per_second = 60.0\nkeys = 0\nseconds = 3.0\n";
 
 #[test]
 fn a_gateway_with_too_many_engines_and_an_engine_with_too_many_gateways_are_found() {
-    let text = format!("{WITHOUT_SLIP}[expect]\nengines_a_gateway = 6");
+    let text = format!("{WITHOUT_FAULT}[expect]\nengines_a_gateway = 6");
     assert_finds_in(
         "many-engines",
         &text,
         gateway_binary(),
         "engines a gateway meets",
     );
-    let text = format!("{WITHOUT_SLIP}[expect]\ngateways_an_engine = 1");
+    let text = format!("{WITHOUT_FAULT}[expect]\ngateways_an_engine = 1");
     assert_finds_in(
         "many-gateways",
         &text,
@@ -307,23 +315,23 @@
     );
     std::fs::write(&script, lines).unwrap();
     std::fs::set_permissions(&script, std::fs::Permissions::from_mode(0o755)).unwrap();
-    let text = format!("{WITHOUT_SLIP}[expect]\nready_ms = 1000");
+    let text = format!("{WITHOUT_FAULT}[expect]\nready_ms = 1000");
     assert_finds_in("slow-start", &text, &script, "ms until a gateway is ready");
 }
 
 #[test]
 fn a_run_without_queries_fails() {
-    let text = WITHOUT_SLIP.replace("60.0", "0.0");
+    let text = WITHOUT_FAULT.replace("60.0", "0.0");
     assert_finds_in("nothing", &text, gateway_binary(), "something was played");
 }
 
 #[test]
 fn a_run_stopped_by_a_signal_ends_its_gateways() {
-    let mut child = start(&small_form(), gateway_binary());
+    let mut child = start(&small_experiment(), gateway_binary());
     let folder = std::env::temp_dir().join(format!("garnetwall-beside-{}", child.id()));
     let began = Instant::now();
     while gateways_of(&folder).len() < 3 {
-        assert!(began.elapsed() < OVER_WITHIN, "the gateways did not start");
+        assert!(began.elapsed() < RUN_TIMEOUT, "the gateways did not start");
         sleep(Duration::from_millis(20));
     }
     let stopped = Command::new("kill")
@@ -332,29 +340,29 @@
         .unwrap();
     assert!(stopped.success());
     assert_eq!(child.wait().unwrap().code(), Some(2));
-    let mut said = String::new();
+    let mut stderr_text = String::new();
     child
         .stderr
         .take()
         .unwrap()
-        .read_to_string(&mut said)
+        .read_to_string(&mut stderr_text)
         .unwrap();
-    assert!(said.contains("stopped by a signal"), "{said}");
+    assert!(stderr_text.contains("stopped by a signal"), "{stderr_text}");
     assert_eq!(gateways_of(&folder), Vec::<u32>::new());
     assert!(!folder.exists());
 }
 
 #[test]
 fn a_gateway_that_ends_at_once_is_reported_with_its_log() {
-    let file = experiment("ends", WITHOUT_SLIP);
+    let file = experiment("ends", WITHOUT_FAULT);
     let child = start(&file, Path::new("/bin/false"));
     let folder = std::env::temp_dir().join(format!("garnetwall-beside-{}", child.id()));
     let output = child.wait_with_output().unwrap();
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(output.status.code(), Some(2), "{said}");
+    let stderr_text = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(2), "{stderr_text}");
     assert!(
-        said.contains("ended before it served (exit status: 1)"),
-        "{said}"
+        stderr_text.contains("ended before it served (exit status: 1)"),
+        "{stderr_text}"
     );
     assert!(folder.join("gateway-0.log").exists());
     std::fs::remove_dir_all(&folder).unwrap();
@@ -386,8 +394,8 @@
             &experiment(&format!("faulty-{number}"), &text),
             gateway_binary(),
         );
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{said}");
-        assert!(said.contains(reported), "{said}");
+        let stderr_text = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{stderr_text}");
+        assert!(stderr_text.contains(reported), "{stderr_text}");
     }
 }
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale/tests/slopes.rs
@@ -4,14 +4,14 @@
 use std::process::{Command, Output};
 
 /// A directory that is deleted when this is dropped.
-struct Scratch(PathBuf);
+struct TemporaryFolder(PathBuf);
 
-impl Scratch {
+impl TemporaryFolder {
     fn new(name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("garnetwall-slopes-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Scratch(path)
+        TemporaryFolder(path)
     }
 
     fn experiment(&self, text: &str) -> PathBuf {
@@ -21,7 +21,7 @@
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -36,7 +36,7 @@
     command.output().unwrap()
 }
 
-fn printed(output: &Output) -> String {
+fn stdout_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
@@ -51,10 +51,10 @@
 
 #[test]
 fn an_experiment_prints_the_fit_and_the_prediction_and_writes_results() {
-    let scratch = Scratch::new("results");
+    let scratch = TemporaryFolder::new("results");
     let results = scratch.0.join("ledger.jsonl");
     let output = slopes(&scratch.experiment(LEDGER), Some(&results));
-    let text = printed(&output);
+    let text = stdout_text(&output);
     assert!(
         output.status.success(),
         "{text}{}",
@@ -87,41 +87,41 @@
 
 #[test]
 fn a_limit_that_is_exceeded_fails_the_run_and_one_that_holds_does_not() {
-    let scratch = Scratch::new("limits");
+    let scratch = TemporaryFolder::new("limits");
     let limited =
         |most: f64| format!("{LEDGER}\n[[limits]]\nmetric = \"attempt\"\nmost = {most}\n");
     let kept = slopes(&scratch.experiment(&limited(1e6)), None);
     assert!(
-        kept.status.success() && printed(&kept).ends_with("1 passed, 0 failed\n"),
+        kept.status.success() && stdout_text(&kept).ends_with("1 passed, 0 failed\n"),
         "{}",
-        printed(&kept)
+        stdout_text(&kept)
     );
     let passed = slopes(&scratch.experiment(&limited(1e-6)), None);
     assert_eq!(passed.status.code(), Some(1));
     assert!(
-        printed(&passed).ends_with("0 passed, 1 failed\n"),
+        stdout_text(&passed).ends_with("0 passed, 1 failed\n"),
         "{}",
-        printed(&passed)
+        stdout_text(&passed)
     );
 }
 
 #[test]
 fn a_limit_on_a_metric_that_the_role_does_not_measure_fails() {
-    let scratch = Scratch::new("foreign-limit");
+    let scratch = TemporaryFolder::new("foreign-limit");
     let text = format!("{LEDGER}\n[[limits]]\nmetric = \"query\"\nmost = 1.0\n");
     let output = slopes(&scratch.experiment(&text), None);
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        printed(&output).contains("not measured by this role"),
+        stdout_text(&output).contains("not measured by this role"),
         "{}",
-        printed(&output)
+        stdout_text(&output)
     );
 }
 
 /// Each role is measured at sizes that take about a second in a debug build.
 #[test]
 fn every_role_is_measured() {
-    let scratch = Scratch::new("roles");
+    let scratch = TemporaryFolder::new("roles");
     let roles = [
         ("module", "engines", "a query, us"),
         ("list", "engines", "decode whole list, us"),
@@ -136,7 +136,7 @@
              [fixed]\nseconds = 0.2\nqueries-per-second = 200\nsubset-size = 5\ngateways = 10\n"
         );
         let output = slopes(&scratch.experiment(&text), None);
-        let text = printed(&output);
+        let text = stdout_text(&output);
         assert!(
             output.status.success(),
             "{role}: {text}{}",
@@ -149,7 +149,7 @@
 /// Values that do not depend on the machine are the same for the same seed.
 #[test]
 fn simulated_bytes_are_the_same_for_the_same_seed() {
-    let scratch = Scratch::new("seed");
+    let scratch = TemporaryFolder::new("seed");
     let text = "role = \"membership\"\nsweep = \"members\"\nsizes = [3, 4, 5, 6]\nruns = 1\nseed = 5\n[fixed]\nseconds = 1.0\n";
     let experiment = scratch.experiment(text);
     let bytes = |name: &str| -> Vec<String> {
@@ -169,7 +169,7 @@
 
 #[test]
 fn an_invalid_experiment_is_reported_with_its_fault() {
-    let scratch = Scratch::new("faults");
+    let scratch = TemporaryFolder::new("faults");
     let changed = |from: &str, to: &str| LEDGER.replace(from, to);
     let cases = [
         (
@@ -230,7 +230,7 @@
 /// A measurement that takes too long is ended and reported.
 #[test]
 fn a_point_that_exceeds_its_limit_is_reported() {
-    let scratch = Scratch::new("slow");
+    let scratch = TemporaryFolder::new("slow");
     let text = "role = \"membership\"\nsweep = \"members\"\nsizes = [200, 300, 400, 500]\nruns = 1\nseed = 5\npoint-limit = 0.05\n";
     let output = slopes(&scratch.experiment(text), None);
     let reported = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -254,7 +254,7 @@
     for path in ours {
         // The run times out at once; a fault of the file would be reported before that.
         let text = std::fs::read_to_string(path).unwrap();
-        let scratch = Scratch::new(&format!("sound-{count}"));
+        let scratch = TemporaryFolder::new(&format!("sound-{count}"));
         let output = slopes(
             &scratch.experiment(&format!("point-limit = 0.001\n{text}")),
             None,
--- a/crates/scale/tests/spread.rs
+++ b/crates/scale/tests/spread.rs
@@ -7,7 +7,7 @@
 const SMALL: &str = include_str!("../experiments/spread-small.toml");
 
 /// The small experiment, reduced to one seed and one size.
-fn shorter() -> String {
+fn reduced() -> String {
     SMALL
         .replace("seeds = 2", "seeds = 1")
         .replace("[24, 48]", "[24]")
@@ -60,7 +60,7 @@
 
 #[test]
 fn the_same_seed_gives_the_same_figures() {
-    let path = experiment("same-seed", &shorter());
+    let path = experiment("same-seed", &reduced());
     let figures = |name: &str, seed: &str| {
         let results = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
         let results_text = results.to_str().expect("a plain path");
@@ -118,12 +118,12 @@
 
 #[test]
 fn each_injected_fault_is_found() {
-    let shorter = shorter();
-    let fault_free = verdict(&spread(&experiment("fault_free", &shorter), &[]));
+    let reduced = reduced();
+    let fault_free = verdict(&spread(&experiment("fault_free", &reduced), &[]));
     assert!(fault_free.0.is_empty(), "{fault_free:#?}");
     for (fault, found) in INJECTED_FAULTS {
         let output = spread(
-            &experiment(fault, &format!("slip = \"{fault}\"\n{shorter}")),
+            &experiment(fault, &format!("slip = \"{fault}\"\n{reduced}")),
             &[],
         );
         let (failed, last) = verdict(&output);
@@ -139,7 +139,7 @@
 }
 
 /// Text of the small experiment, its replacement, and texts that the error has to contain.
-const BAD: [(&str, &str, &[&str]); 10] = [
+const INVALID_EXPERIMENTS: [(&str, &str, &[&str]); 10] = [
     ("seeds = 2", "seeds = 0", &["seeds: 0", "1 to 1,024"]),
     ("seeds = 2", "sedes = 2", &["sedes", "seeds"]),
     ("zones = 5", "zones = 0", &["zones: 0"]),
@@ -178,7 +178,7 @@
 
 #[test]
 fn invalid_experiments_are_rejected_with_their_key() {
-    for (index, (from, to, named)) in BAD.into_iter().enumerate() {
+    for (index, (from, to, named)) in INVALID_EXPERIMENTS.into_iter().enumerate() {
         assert!(SMALL.contains(from), "{from}");
         let path = experiment(&format!("bad-{index}"), &SMALL.replace(from, to));
         let output = spread(&path, &[]);
