--- a/crates/scale/src/real_processes/gateways.rs
+++ b/crates/scale/src/real_processes/gateways.rs
@@ -28,7 +28,8 @@
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Time after SIGTERM in which clients still send queries to the gateway, from the protocol.
 const ARRIVALS_AFTER_TERM: Duration = Duration::from_millis(300);
-/// Time after SIGTERM before a gateway is killed. The protocol grants a gateway the longest limit of a query and 0.7 s.
+/// Time that a terminated gateway gets to end before it is killed. By the protocol, the time from SIGTERM to the kill
+/// is at least the longest limit of a query and 0.7 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(LIMIT_MS + 700);
 /// Time to wait for a process to end after SIGKILL.
 const KILL_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/scale/src/real_processes/http_client.rs
+++ b/crates/scale/src/real_processes/http_client.rs
@@ -97,7 +97,7 @@
         .unwrap_or(Err(CallError::TimedOut))
 }
 
-/// Builds a GET request without a body.
+/// Builds a GET request without a body. Building can't fail, since all parts are static.
 pub fn get(path: &'static str) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::default());
     *request.uri_mut() = http::Uri::from_static(path);
--- a/crates/scale/src/real_processes/sweeps.rs
+++ b/crates/scale/src/real_processes/sweeps.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Limit on a swept gateway's sockets. The part of it for clients is larger than the largest step.
+/// Limit on a swept gateway's descriptors. The part of it for clients suffices for the largest step.
 const SWEPT_SOCKETS: usize = 18_000;
 const SWEPT_MEMORY_MB: usize = 512;
 /// Number of connections that are opened concurrently.
