--- a/crates/scale/src/slopes/regression.rs
+++ b/crates/scale/src/slopes/regression.rs
@@ -3,7 +3,7 @@
 use crate::least_squares::LeastSquares;
 use crate::statistics;
 
-/// Largest exponent that counts as linear growth; a larger one counts as superlinear.
+/// Exponent above which growth counts as faster than linear.
 pub const MAX_LINEAR_EXPONENT: f64 = 1.1;
 /// Standard errors by which an exponent must exceed [`MAX_LINEAR_EXPONENT`] to count as superlinear.
 const STANDARD_ERRORS: f64 = 2.0;
--- a/crates/scale/src/slopes/regression/tests.rs
+++ b/crates/scale/src/slopes/regression/tests.rs
@@ -52,7 +52,7 @@
     assert!(!Regression::new(&samples(|_| 0.0)).superlinear);
 }
 
-/// A constant total divided by the size, such as the holders of an engine or the work of each gateway.
+/// A constant total divided by the size, such as the holders of an engine or the work per engine.
 #[test]
 fn falling_values_are_predicted_by_their_exponent() {
     let regression = Regression::new(&samples(|size| 350_000.0 / size));
