--- a/crates/scale/src/slopes/roles/subset.rs
+++ b/crates/scale/src/slopes/roles/subset.rs
@@ -11,7 +11,7 @@
 
 /// Number of additional subsets of one catalog, by which a subset's memory is measured apart from the catalog's.
 const ADDITIONAL_SUBSETS: usize = 200;
-/// Maximum number of polls after which a subset counts as settled.
+/// Maximum number of polls, after which a subset counts as settled.
 const MAX_POLLS: usize = 10_000;
 
 /// One gateway's subset, and the catalog that it is chosen from.
