--- a/crates/scale/src/real_processes/change_log/reader.rs
+++ b/crates/scale/src/real_processes/change_log/reader.rs
@@ -1,4 +1,4 @@
-//! The log's connections: each reader gets a stream of the events after the last one that it names.
+//! Serves the change log's connections. Each reader gets a stream of the events after the one in its `last-event-id`.
 
 use super::addresses::gateway_of;
 use super::history::{frame, rendered_data, History, PublishedEvent};
@@ -19,25 +19,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Protocol: the interval of comments.
+/// Interval of comments on an idle stream, from the protocol.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
 const COMMENT: &[u8] = b":\n\n";
-/// What a watch costs while nothing changes.
+/// Bytes per second that a stream carries while the list does not change.
 pub const COMMENT_BYTES_PER_SECOND: f64 = COMMENT.len() as f64;
-/// A reader that takes no bytes for this long is disconnected.
+/// Timeout for a reader to accept bytes; after it the reader's stream is closed.
 const SLOW_READER_TIMEOUT: Duration = Duration::from_secs(10);
-/// A reader that names no last event has none.
+/// Header with the number of the last event that the reader has. Without the header, the reader has no events.
 const LAST_EVENT: &str = "last-event-id";
-/// Injected fault: the delay of a slow log.
+/// Injected fault: delay before each write of a slow log.
 const SLOW_LOG_DELAY: Duration = Duration::from_millis(1_400);
 
-/// Serves all connections, without end.
+/// Accepts and serves connections; never returns.
 pub async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => drop(tokio::spawn(serve(stream, shared.clone()))),
             Err(error) => {
-                tracing::warn!(%error, "change log can't accept");
+                tracing::warn!(%error, "simulated change log can't accept a connection; retrying");
                 sleep(Duration::from_millis(10)).await;
             }
         }
@@ -59,7 +59,7 @@
                 .and_then(|value| value.to_str().ok()?.parse().ok());
             let (sender, body) = Channel::<Bytes, Infallible>::new(1);
             tokio::spawn(
-                Watch {
+                ReaderStream {
                     shared,
                     gateway,
                     last_number: last.unwrap_or(0),
@@ -74,15 +74,15 @@
         .await;
 }
 
-/// One reader's stream.
-struct Watch {
+/// State of one reader's stream.
+struct ReaderStream {
     shared: Arc<Shared>,
     gateway: Option<usize>,
     /// The number of the last event sent.
     last_number: u64,
 }
 
-impl Watch {
+impl ReaderStream {
     async fn feed(mut self, mut sender: Sender<Bytes, Infallible>) {
         let mut last = self.shared.last.subscribe();
         loop {
@@ -90,20 +90,20 @@
             if self.shared.faults.slow {
                 sleep(SLOW_LOG_DELAY).await;
             }
-            let due = joined(self.due());
-            self.count(due.len() as u64);
+            let due = join_frames(self.take_unsent());
+            self.count_bytes(due.len() as u64);
             if !matches!(
                 timeout(SLOW_READER_TIMEOUT, sender.send_data(due)).await,
                 Ok(Ok(()))
             ) {
                 return;
             }
-            // It fails only with the log, whose end ends this task too.
+            // `changed` fails only when the log has been dropped, and then the runtime ends this task as well.
             let _ = timeout(COMMENT_INTERVAL, last.changed()).await;
         }
     }
 
-    fn count(&self, bytes: u64) {
+    fn count_bytes(&self, bytes: u64) {
         let counter = match self.gateway {
             Some(gateway) => &self.shared.bytes_to_gateways[gateway],
             None => &self.shared.bytes_to_watchers,
@@ -111,8 +111,9 @@
         counter.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// Events that it has not been sent.
-    fn due(&mut self) -> Vec<Bytes> {
+    /// Returns the events that this reader has not been sent, or the whole list if some of them are no longer stored.
+    /// Advances `last_number` to the last event.
+    fn take_unsent(&mut self) -> Vec<Bytes> {
         let shared = self.shared.clone();
         let mut history = shared.history();
         if self.last_number >= history.last {
@@ -124,7 +125,7 @@
             .map_or(history.last + 1, |event| event.number);
         let from = std::mem::replace(&mut self.last_number, history.last);
         if from + 1 < first {
-            return self.whole(&mut history);
+            return self.render_whole_list(&mut history);
         }
         let skip = (from + 1 - first) as usize;
         history
@@ -135,11 +136,11 @@
             .collect()
     }
 
-    fn whole(&self, history: &mut History) -> Vec<Bytes> {
+    fn render_whole_list(&self, history: &mut History) -> Vec<Bytes> {
         let port = self
             .gateway
             .map_or(0, |gateway| self.shared.engine_ports[gateway]);
-        self.delivered(history.last);
+        self.record_delivery(history.last);
         vec![frame(history.last, &rendered_data(&history.whole(), port))]
     }
 
@@ -148,17 +149,17 @@
             return event.rendered.clone();
         };
         if event.withheld_from == Some(gateway) {
-            // An empty event keeps the numbers without gaps, so that only the change is missing.
+            // An empty event keeps the numbers without gaps, so that only the change itself is missing.
             return frame(event.number, &json!({"seq": event.number}).to_string());
         }
-        self.delivered(event.number);
+        self.record_delivery(event.number);
         frame(
             event.number,
             &rendered_data(&event.data, self.shared.engine_ports[gateway]),
         )
     }
 
-    fn delivered(&self, number: u64) {
+    fn record_delivery(&self, number: u64) {
         let Some(gateway) = self.gateway else { return };
         let delivered_at = self.shared.recorder.now();
         self.shared
@@ -173,8 +174,8 @@
     }
 }
 
-/// Frames to be written at once; a comment where there are none.
-fn joined(frames: Vec<Bytes>) -> Bytes {
+/// Concatenates the frames into one write; returns a comment if there are none.
+fn join_frames(frames: Vec<Bytes>) -> Bytes {
     match <[Bytes; 1]>::try_from(frames) {
         Ok([one]) => one,
         Err(none) if none.is_empty() => Bytes::from_static(COMMENT),
--- a/crates/scale/src/slopes/roles/configuration.rs
+++ b/crates/scale/src/slopes/roles/configuration.rs
@@ -1,7 +1,7 @@
-//! The role of a configuration that is read and checked, as at a start and at a reload.
+//! Role `configuration`: reads and checks a configuration file, as a gateway does at start and on reload.
 
 use super::pool::{kind_name, log_event, whole_list, zone_name, KIND_CORES, ZONES};
-use super::stopwatch::{growth, timed};
+use super::stopwatch::{memory_growth, timed};
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
@@ -9,7 +9,7 @@
 use serde_json::json;
 use std::path::PathBuf;
 
-/// Reads and checks a configuration with a list of engines.
+/// Measures the reading and checking of a configuration with a list of engines.
 pub struct Configuration;
 
 impl Role for Configuration {
@@ -23,7 +23,7 @@
             plan: None,
         };
         let (resident, (read, config)) =
-            growth(|| timed(|| configuration::read(files(), |_| None)))?;
+            memory_growth(|| timed(|| configuration::read(files(), |_| None)))?;
         config.map_err(|error| RoleError::Data(error.to_string()))?;
         Ok(vec![
             Measured::new(Metric::Read, read),
@@ -33,7 +33,7 @@
     }
 }
 
-/// A gateway's configuration with so many engines under `known`, as text.
+/// Renders a gateway's configuration with `engines` engines under `known`.
 fn configuration(engines: u64) -> String {
     let nothing = log_event(2, false, std::iter::empty());
     let known = format!(
@@ -57,7 +57,7 @@
     )
 }
 
-/// A file that is deleted once it is dropped.
+/// A file that is deleted when this is dropped.
 struct TemporaryFile {
     path: PathBuf,
 }
@@ -75,7 +75,7 @@
 
 impl Drop for TemporaryFile {
     fn drop(&mut self) {
-        // It may have been deleted already.
+        // The file may have been deleted already.
         let _ = std::fs::remove_file(&self.path);
     }
 }
--- a/crates/scale/src/slopes/roles/leases.rs
+++ b/crates/scale/src/slopes/roles/leases.rs
@@ -1,6 +1,6 @@
-//! The role of a lease issuer: members renew what they have.
+//! Role `leases`: a lease issuer whose members renew their leases.
 
-use super::stopwatch::{growth, repeated};
+use super::stopwatch::{memory_growth, timed_repeatedly};
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
@@ -9,12 +9,12 @@
 };
 use std::time::Duration;
 
-/// A lease of two seconds, renewed each quarter of it.
+/// Length of a lease at the issuer; the holders' term is slightly shorter and is renewed four times.
 const LEASE_LENGTH: Duration = Duration::from_secs(2);
 const TERM_LENGTH: Duration = Duration::from_millis(1990);
 const RENEWALS_PER_TERM: u64 = 4;
 const ISSUERS: usize = 3;
-/// Leases that the issuer may store.
+/// Number of leases that the issuer may store.
 const MAX_LEASES: usize = 100_000;
 
 /// Measures the lease issuer.
@@ -30,7 +30,7 @@
         };
         let mut issuer = LeaseIssuer::start(Duration::ZERO, 0, 1, &terms, limits);
         let begin = LEASE_LENGTH * 2;
-        let (resident, refused) = growth(|| {
+        let (resident, refused) = memory_growth(|| {
             let first = |member: u64| {
                 issuer
                     .handle_request(begin, &lease_request(member, 1, true))
@@ -43,9 +43,9 @@
                 "{refused} of {members} members were refused a lease"
             )));
         }
-        // Renewals of all members in turn, evenly over a quarter of the term.
+        // All members renew in turn, evenly spread over a quarter of the term.
         let step = TERM_LENGTH.as_nanos() as u64 / RENEWALS_PER_TERM / members;
-        let renewal = repeated(|repeat| {
+        let renewal = timed_repeatedly(|repeat| {
             let now = begin + Duration::from_nanos(step * repeat);
             issuer.handle_request(
                 now,
@@ -59,9 +59,9 @@
     }
 }
 
-/// A member's request: to renew its membership, and at first to claim one lease.
+/// Creates a member's request, which renews its membership and, with `claims`, claims one lease.
 fn lease_request(member: u64, number: u32, claims: bool) -> LeaseRequest {
-    /// After any that the issuer's start rules out.
+    /// Later than any epoch that the issuer rules out at its start.
     const FIRST_EPOCH: Epoch = Epoch(1 << 40);
     let claim = Claim {
         resource: Resource(member),
--- a/crates/scale/src/slopes/roles/list.rs
+++ b/crates/scale/src/slopes/roles/list.rs
@@ -1,13 +1,13 @@
-//! The role of the list of engines in a gateway: decode and apply.
+//! Role `list`: a gateway's decoding and application of the endpoint list.
 
 use super::gateway_list::GatewayList;
 use super::pool;
-use super::stopwatch::{each, growth, repeated, timed};
+use super::stopwatch::{memory_growth, timed, timed_each, timed_repeatedly};
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
 
-/// Repeated whole lists, and changed entries, in one run.
+/// Numbers of repeated whole lists and of changed entries in one measurement.
 const WHOLE_LISTS: usize = 8;
 const CHANGED_ENTRIES: usize = 8192;
 
@@ -20,13 +20,13 @@
         let text = pool::whole_list(engines);
         let changed = engine_changes(engines);
         let list = GatewayList::new(&point.quantities)?;
-        // The event is dropped once it was applied, as in the gateway.
-        let (resident, times) = growth(|| first_list(&list, &text))?;
+        // The event is dropped once it has been applied, as in the gateway.
+        let (resident, times) = memory_growth(|| first_list(&list, &text))?;
         let (decode_list, first_list) = times?;
         let whole = list.decode(&text)?;
-        let whole_list = each(vec![whole; WHOLE_LISTS], |event| list.apply(event));
+        let whole_list = timed_each(vec![whole; WHOLE_LISTS], |event| list.apply(event));
         let entry = |repeat: u64| &changed[repeat as usize % changed.len()];
-        let decode_entry = repeated(|repeat| list.decode(entry(repeat)));
+        let decode_entry = timed_repeatedly(|repeat| list.decode(entry(repeat)));
         let events = changed
             .iter()
             .map(|text| list.decode(text))
@@ -37,7 +37,7 @@
             .take(CHANGED_ENTRIES)
             .cloned()
             .collect();
-        let changed_entry = each(events, |event| list.apply(event));
+        let changed_entry = timed_each(events, |event| list.apply(event));
         Ok(vec![
             Measured::new(Metric::ListBytes, text.len() as f64),
             Measured::new(Metric::LineBytes, changed[0].len() as f64),
@@ -51,7 +51,7 @@
     }
 }
 
-/// Processor time of the first whole list: decoding and applying it.
+/// Decodes and applies the first whole list. Returns the processor time of each, in microseconds.
 fn first_list(list: &GatewayList, text: &str) -> Result<(f64, f64), RoleError> {
     let (decode, event) = timed(|| list.decode(text));
     let event = event?;
@@ -59,7 +59,7 @@
     Ok((decode, apply))
 }
 
-/// Events that each change one entry, spread over the list: engines drain, and serve again.
+/// Renders events that each change one entry, spread over the list: engines drain, and serve again.
 fn engine_changes(engines: u64) -> Vec<String> {
     const CHANGES: u64 = 64;
     let change = |number: u64| {
--- a/crates/scale/tests/beside.rs
+++ b/crates/scale/tests/beside.rs
@@ -1,5 +1,5 @@
-//! `garnetwall-scale beside` with real gateways: the small form passes, a fault put in for each judged thing is found, and
-//! nothing that was started outlives a run.
+//! Tests of `garnetwall-scale beside` with real gateways: the small experiment passes, the fault injected for each
+//! judged property is found, and no process outlives a run.
 
 use std::io::Read;
 use std::path::{Path, PathBuf};
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_garnetwall-scale");
-/// A run of this file's is over long before; only a hanging one is not.
-const OVER_WITHIN: Duration = Duration::from_secs(120);
+/// Timeout for a run. Runs of these tests take much less, so only a hanging run exceeds it.
+const RUN_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// The gateway's program, built into this test's target folder where it is not there yet.
+/// Returns the path of the gateway's program, which is built into this test's target folder if it does not exist.
 fn gateway_binary() -> &'static Path {
     static BINARY: OnceLock<PathBuf> = OnceLock::new();
     BINARY.get_or_init(|| {
@@ -47,11 +47,11 @@
     assert!(build.status().unwrap().success());
 }
 
-fn small_form() -> PathBuf {
+fn small_experiment() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/beside-small.toml")
 }
 
-/// Writes an experiment into a file of its own: tests run at the same time, two of them with the same fault.
+/// Writes an experiment into a separate file: tests run concurrently, and two of them inject the same fault.
 fn experiment(name: &str, text: &str) -> PathBuf {
     static WRITTEN: AtomicUsize = AtomicUsize::new(0);
     let number = WRITTEN.fetch_add(1, Ordering::Relaxed);
@@ -81,10 +81,10 @@
     let mut child = start(experiment, binary);
     let began = Instant::now();
     while child.try_wait().unwrap().is_none() {
-        if began.elapsed() > OVER_WITHIN {
+        if began.elapsed() > RUN_TIMEOUT {
             child.kill().unwrap();
             panic!(
-                "{} is not over within {OVER_WITHIN:?}",
+                "{} did not finish within {RUN_TIMEOUT:?}",
                 experiment.display()
             );
         }
@@ -93,8 +93,8 @@
     child.wait_with_output().unwrap()
 }
 
-/// What faults are put into: without one, it passes under the same bounds.
-const FAULTLESS: &str = "seed = 3
+/// An experiment without an injected fault, with the bounds of the tests that inject one.
+const FAULT_FREE: &str = "seed = 3
 gateways = 2
 engines = 24
 watchers = 20
@@ -125,57 +125,66 @@
 ";
 
 #[test]
-fn without_a_fault_the_same_passes() {
-    let output = run(&experiment("faultless", FAULTLESS), gateway_binary());
-    let shown = String::from_utf8_lossy(&output.stdout);
+fn the_fault_free_experiment_passes() {
+    let output = run(&experiment("fault-free", FAULT_FREE), gateway_binary());
+    let stdout_text = String::from_utf8_lossy(&output.stdout);
     assert_eq!(
         output.status.code(),
         Some(0),
-        "{shown}{}",
+        "{stdout_text}{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    assert_eq!(shown.lines().last(), Some("14 passed, 0 failed"), "{shown}");
+    assert_eq!(
+        stdout_text.lines().last(),
+        Some("14 passed, 0 failed"),
+        "{stdout_text}"
+    );
 }
 
-/// Runs a fault, which has to be found as a failure of what it breaks.
-fn assert_finds(fault: &str, more: &str, broken: &str) {
+/// Runs an experiment with `fault` and asserts that `judgement` fails.
+fn assert_finds(fault: &str, more: &str, judgement: &str) {
     let text = format!(
         "seed = 3\ngateways = 2\nengines = 24\nwatchers = 20\nqueries_per_second = 40.0\nkeys = 4\nslip = '{fault}'\n{more}"
     );
-    assert_finds_in(fault, &text, gateway_binary(), broken);
+    assert_finds_in(fault, &text, gateway_binary(), judgement);
 }
 
-fn assert_finds_in(name: &str, text: &str, binary: &Path, broken: &str) {
+/// Runs an experiment and asserts that `judgement` fails and that the exit code is 1.
+fn assert_finds_in(name: &str, text: &str, binary: &Path, judgement: &str) {
     let output = run(&experiment(name, text), binary);
-    let shown = String::from_utf8_lossy(&output.stdout);
+    let stdout_text = String::from_utf8_lossy(&output.stdout);
     assert_eq!(
         output.status.code(),
         Some(1),
-        "{shown}{}",
+        "{stdout_text}{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    let verdict = format!("FAIL {broken}");
+    let verdict = format!("FAIL {judgement}");
     assert!(
-        shown.lines().any(|line| line.starts_with(&verdict)),
-        "{shown}"
+        stdout_text.lines().any(|line| line.starts_with(&verdict)),
+        "{stdout_text}"
     );
     assert!(
-        shown.lines().last().unwrap().ends_with(" failed"),
-        "{shown}"
+        stdout_text.lines().last().unwrap().ends_with(" failed"),
+        "{stdout_text}"
     );
 }
 
 #[test]
-fn the_small_form_passes() {
-    let output = run(&small_form(), gateway_binary());
-    let shown = String::from_utf8_lossy(&output.stdout);
+fn the_small_experiment_passes() {
+    let output = run(&small_experiment(), gateway_binary());
+    let stdout_text = String::from_utf8_lossy(&output.stdout);
     assert_eq!(
         output.status.code(),
         Some(0),
-        "{shown}{}",
+        "{stdout_text}{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    assert_eq!(shown.lines().last(), Some("11 passed, 0 failed"), "{shown}");
+    assert_eq!(
+        stdout_text.lines().last(),
+        Some("11 passed, 0 failed"),
+        "{stdout_text}"
+    );
 }
 
 #[test]
@@ -231,7 +240,7 @@
 }
 
 #[test]
-fn queries_of_a_key_that_run_together_are_found() {
+fn overlapping_queries_of_a_key_are_found() {
     assert_finds(
         "key-withheld",
         "seconds = 6.0",
@@ -250,7 +259,7 @@
 }
 
 #[test]
-fn queries_that_too_seldom_succeed_are_found() {
+fn too_low_a_share_of_successful_queries_is_found() {
     let bound = "seconds = 5.0\n[expect]\nsucceeded_share = 0.9";
     assert_finds("uneven-engines", bound, "share of queries that succeed");
 }
@@ -273,19 +282,20 @@
     assert_finds("killed-drain", term, "terminated gateways end cleanly");
 }
 
-const WITHOUT_SLIP: &str =
+/// An experiment without an injected fault and without bounds.
+const WITHOUT_FAULT: &str =
     "seed = 3\ngateways = 2\nengines = 24\nwatchers = 5\nqueries_per_second = 60.0\nkeys = 0\nseconds = 3.0\n";
 
 #[test]
-fn a_gateway_that_meets_too_many_engines_and_an_engine_that_meets_too_many_gateways_are_found() {
-    let text = format!("{WITHOUT_SLIP}[expect]\nengines_a_gateway = 6");
+fn a_gateway_with_too_many_engines_and_an_engine_with_too_many_gateways_are_found() {
+    let text = format!("{WITHOUT_FAULT}[expect]\nengines_a_gateway = 6");
     assert_finds_in(
         "many-engines",
         &text,
         gateway_binary(),
         "engines a gateway meets",
     );
-    let text = format!("{WITHOUT_SLIP}[expect]\ngateways_an_engine = 1");
+    let text = format!("{WITHOUT_FAULT}[expect]\ngateways_an_engine = 1");
     assert_finds_in(
         "many-gateways",
         &text,
@@ -305,23 +315,23 @@
     );
     std::fs::write(&script, lines).unwrap();
     std::fs::set_permissions(&script, std::fs::Permissions::from_mode(0o755)).unwrap();
-    let text = format!("{WITHOUT_SLIP}[expect]\nready_ms = 1000");
+    let text = format!("{WITHOUT_FAULT}[expect]\nready_ms = 1000");
     assert_finds_in("slow-start", &text, &script, "ms until a gateway is ready");
 }
 
 #[test]
-fn a_run_in_which_nothing_is_played_fails() {
-    let text = WITHOUT_SLIP.replace("60.0", "0.0");
+fn a_run_without_queries_fails() {
+    let text = WITHOUT_FAULT.replace("60.0", "0.0");
     assert_finds_in("nothing", &text, gateway_binary(), "something was played");
 }
 
 #[test]
-fn a_run_that_is_stopped_ends_its_gateways() {
-    let mut child = start(&small_form(), gateway_binary());
+fn a_run_stopped_by_a_signal_ends_its_gateways() {
+    let mut child = start(&small_experiment(), gateway_binary());
     let folder = std::env::temp_dir().join(format!("garnetwall-beside-{}", child.id()));
     let began = Instant::now();
     while gateways_of(&folder).len() < 3 {
-        assert!(began.elapsed() < OVER_WITHIN, "the gateways never started");
+        assert!(began.elapsed() < RUN_TIMEOUT, "the gateways did not start");
         sleep(Duration::from_millis(20));
     }
     let stopped = Command::new("kill")
@@ -330,35 +340,35 @@
         .unwrap();
     assert!(stopped.success());
     assert_eq!(child.wait().unwrap().code(), Some(2));
-    let mut said = String::new();
+    let mut stderr_text = String::new();
     child
         .stderr
         .take()
         .unwrap()
-        .read_to_string(&mut said)
+        .read_to_string(&mut stderr_text)
         .unwrap();
-    assert!(said.contains("stopped by a signal"), "{said}");
+    assert!(stderr_text.contains("stopped by a signal"), "{stderr_text}");
     assert_eq!(gateways_of(&folder), Vec::<u32>::new());
     assert!(!folder.exists());
 }
 
 #[test]
 fn a_gateway_that_ends_at_once_is_reported_with_its_log() {
-    let file = experiment("ends", WITHOUT_SLIP);
+    let file = experiment("ends", WITHOUT_FAULT);
     let child = start(&file, Path::new("/bin/false"));
     let folder = std::env::temp_dir().join(format!("garnetwall-beside-{}", child.id()));
     let output = child.wait_with_output().unwrap();
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(output.status.code(), Some(2), "{said}");
+    let stderr_text = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(2), "{stderr_text}");
     assert!(
-        said.contains("ended before it served (exit status: 1)"),
-        "{said}"
+        stderr_text.contains("ended before it served (exit status: 1)"),
+        "{stderr_text}"
     );
     assert!(folder.join("gateway-0.log").exists());
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Processes that were started with a configuration in this folder.
+/// Returns the ids of the processes that were started with a configuration in this folder.
 fn gateways_of(folder: &Path) -> Vec<u32> {
     let mark = folder.to_string_lossy().into_owned();
     let processes = std::fs::read_dir("/proc").unwrap().flatten();
@@ -371,7 +381,7 @@
 }
 
 #[test]
-fn a_faulty_experiment_is_reported_with_its_place() {
+fn an_invalid_experiment_is_reported_with_its_fault() {
     let cases = [
         ("gateways = 0", "gateways: 0 is not from 1 to 200"),
         ("gateways = 'two'", "invalid type: string"),
@@ -384,8 +394,8 @@
             &experiment(&format!("faulty-{number}"), &text),
             gateway_binary(),
         );
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{said}");
-        assert!(said.contains(reported), "{said}");
+        let stderr_text = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{stderr_text}");
+        assert!(stderr_text.contains(reported), "{stderr_text}");
     }
 }
