--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -262,7 +262,7 @@
         self.set_phase(Phase::Draining);
         let schedule = ShutdownSchedule::new(Instant::now(), self.longest_deadline_seconds);
         let answers_due = self.scheduler.clock().at(schedule.answers_due);
-        self.scheduler.cap_deadlines(answers_due);
+        self.scheduler.limit_deadlines(answers_due);
         // This always ends by the timeout, since `accepting` completes only after `stop_accepting` is set.
         let _ = timeout_at(schedule.accept_until.into(), accepting.as_mut()).await;
         // Connections that the system has queued by now are still accepted and served.
--- a/crates/gateway/src/scheduling/scheduler/recovery.rs
+++ b/crates/gateway/src/scheduling/scheduler/recovery.rs
@@ -23,7 +23,7 @@
                 let expires_at = record.may_run_until_ms as f64 / MILLIS_PER_SECOND;
                 state.query_index.recover(record.query_key, expires_at);
                 if let Some(key) = record.ordering_key.filter(|_| !finished) {
-                    state.controller.pause_key(key, resumes_at);
+                    state.controller.pause_ordering_key(key, resumes_at);
                 }
             }
             state.query_index.set_recovery_complete();
--- a/crates/gateway/src/scheduling/scheduler/shutdown.rs
+++ b/crates/gateway/src/scheduling/scheduler/shutdown.rs
@@ -6,8 +6,8 @@
 impl Scheduler {
     /// Announces the shutdown. All answers are due by `answers_due`, in seconds on the gateway's clock; later deadlines
     /// of queries are shortened to it.
-    pub fn cap_deadlines(&self, answers_due: f64) {
-        self.handle_event(|state, _| state.controller.cap_deadlines(answers_due));
+    pub fn limit_deadlines(&self, answers_due: f64) {
+        self.handle_event(|state, _| state.controller.limit_deadlines(answers_due));
         self.answers_due.send_replace(Some(answers_due));
     }
 
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -115,7 +115,7 @@
 
     /// Limits the deadlines of all open queries to `answers_due`, in seconds. The caller does this when the gateway
     /// shuts down.
-    pub fn cap_deadlines(&mut self, answers_due: f64) {
+    pub fn limit_deadlines(&mut self, answers_due: f64) {
         for state in self.queries.values_mut() {
             state.deadline = state.deadline.min(answers_due);
         }
--- a/src/controller/key_order.rs
+++ b/src/controller/key_order.rs
@@ -19,7 +19,7 @@
     /// Pauses an ordering key until the time `until`, in seconds, because an attempt started by an earlier process may
     /// still be running. The caller must do this at start-up, before queries of the key are admitted. If a key is
     /// paused more than once, the latest end applies.
-    pub fn pause_key(&mut self, key: u64, until: f64) {
+    pub fn pause_ordering_key(&mut self, key: u64, until: f64) {
         let key_queue = self.key_queues.entry(key).or_default();
         key_queue.paused_until = key_queue.paused_until.max(until);
         let paused_until = key_queue.paused_until;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -870,7 +870,7 @@
         ..query_class(Idempotency::NonIdempotent)
     };
     let mut sim = Simulation::new(settings(vec![non_idempotent]), 2);
-    sim.controller.pause_key(1, sim.now + 2.25);
+    sim.controller.pause_ordering_key(1, sim.now + 2.25);
     let (held, free) = (sim.admit(0, 0, Some(1), 4.0), sim.admit(0, 0, Some(2), 4.0));
     sim.advance(2.2);
     assert_eq!(
