--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -195,7 +195,7 @@
         let scheduler = self.scheduler.clone();
         let longest_unpolled_run = self.engines.longest_unpolled_run();
         let on_recovered =
-            move |queries: Vec<_>| scheduler.recovered(&queries, longest_unpolled_run);
+            move |queries: Vec<_>| scheduler.complete_recovery(&queries, longest_unpolled_run);
         QueryJournal::open(
             &journal.directory,
             &self.config.name,
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -117,7 +117,8 @@
                     self.run_attempt(attempt, start).await
                 }
                 Command::Answer(answer) => {
-                    self.scheduler.answer(self.query_id, answer.into());
+                    self.scheduler
+                        .record_final_answer(self.query_id, answer.into());
                     QueryStatus::Finished
                 }
                 Command::ClientLeft => QueryStatus::Finished,
@@ -157,7 +158,8 @@
         match self.scheduler.outcome_unknown(self.query_id, outcome) {
             FollowUp::Nothing => QueryStatus::Open,
             FollowUp::Answer(answer) => {
-                self.scheduler.answer(self.query_id, answer.into());
+                self.scheduler
+                    .record_final_answer(self.query_id, answer.into());
                 QueryStatus::Finished
             }
         }
@@ -185,7 +187,7 @@
             (None, FollowUp::Answer(answer)) => answer.into(),
             (None, FollowUp::Nothing) => return ended.query_status,
         };
-        self.scheduler.answer(self.query_id, answer);
+        self.scheduler.record_final_answer(self.query_id, answer);
         QueryStatus::Finished
     }
 
--- a/crates/gateway/src/scheduling/scheduler/query_end.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_end.rs
@@ -7,7 +7,7 @@
 
 impl Scheduler {
     /// Gives a query its final answer. Only the first answer takes effect; later ones are ignored.
-    pub fn answer(&self, id: QueryId, answer: QueryAnswer) {
+    pub fn record_final_answer(&self, id: QueryId, answer: QueryAnswer) {
         let state = self.state();
         let query = state.open_queries.get(&id);
         if let Some(query) = query.filter(|query| !query.is_finished()) {
--- a/crates/gateway/src/scheduling/scheduler/recovery.rs
+++ b/crates/gateway/src/scheduling/scheduler/recovery.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// Announces that the journal is being read. Until [`recovered`](Scheduler::recovered) is called, every
-    /// non-idempotent query that arrives is treated as one that may have run.
+    /// Announces that the journal is being read. Until [`complete_recovery`](Scheduler::complete_recovery) is called,
+    /// every non-idempotent query that arrives is treated as one that may have run.
     pub fn set_recovery_pending(&self) {
         self.state().query_index.set_recovery_pending();
     }
@@ -16,7 +16,7 @@
     ///
     /// Ordering keys of queries that may still run are paused for `longest_unpolled_run`, the longest time for which an
     /// attempt runs without being polled.
-    pub fn recovered(&self, queries: &[RecoveredQuery], longest_unpolled_run: Duration) {
+    pub fn complete_recovery(&self, queries: &[RecoveredQuery], longest_unpolled_run: Duration) {
         self.handle_event(|state, now| {
             let resumes_at = now + longest_unpolled_run.as_secs_f64();
             for RecoveredQuery { record, finished } in queries {
