--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -224,7 +224,7 @@
             platform: self.config.platform.clone(),
             phase: self.phase.subscribe(),
             statement_bytes: self.budget.statement_bytes.clone(),
-            send_times: Mutex::new(SendTimeEstimator::new(
+            send_time_estimator: Mutex::new(SendTimeEstimator::new(
                 self.budget.query_capacity,
                 self.config.platform.network.connect_timeout,
                 self.longest_deadline_seconds,
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -68,7 +68,7 @@
     /// are then rejected.
     pub body_store: Option<Arc<Store>>,
     /// Estimates when clients sent their queries.
-    pub send_times: Mutex<SendTimeEstimator>,
+    pub send_time_estimator: Mutex<SendTimeEstimator>,
     /// Memory budget for statements: one permit per byte.
     pub statement_bytes: Arc<Semaphore>,
 }
@@ -82,11 +82,11 @@
     /// in seconds on the scheduler's clock.
     fn earliest_send_time(&self, ordering_key: Option<u64>, arrived_at: f64) -> f64 {
         let open_queries = self.scheduler.open_queries();
-        let mut send_times = self
-            .send_times
+        let mut send_time_estimator = self
+            .send_time_estimator
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        send_times.estimate(ordering_key, arrived_at, open_queries)
+        send_time_estimator.estimate(ordering_key, arrived_at, open_queries)
     }
 
     /// Reserves `bytes` of the memory budget for statements until the permit is dropped.
