--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -223,7 +223,7 @@
             body_store: store,
             platform: self.config.platform.clone(),
             phase: self.phase.subscribe(),
-            statement_bytes: self.budget.statement_bytes.clone(),
+            statement_memory: self.budget.statement_memory.clone(),
             send_time_estimator: Mutex::new(SendTimeEstimator::new(
                 self.budget.query_capacity,
                 self.config.platform.network.connect_timeout,
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -70,7 +70,7 @@
     /// Estimates when clients sent their queries.
     pub send_time_estimator: Mutex<SendTimeEstimator>,
     /// Memory budget for statements: one permit per byte.
-    pub statement_bytes: Arc<Semaphore>,
+    pub statement_memory: Arc<Semaphore>,
 }
 
 /// IP address of the client that sent a request.
@@ -91,7 +91,7 @@
 
     /// Reserves `bytes` of the memory budget for statements until the permit is dropped.
     fn reserve_statement_bytes(&self, bytes: u32) -> Result<OwnedSemaphorePermit, SubmissionError> {
-        self.statement_bytes
+        self.statement_memory
             .clone()
             .try_acquire_many_owned(bytes)
             .map_err(|_| SubmissionError::StatementMemoryFull)
--- a/crates/gateway/src/system/resource_budget.rs
+++ b/crates/gateway/src/system/resource_budget.rs
@@ -49,7 +49,7 @@
     /// Maximum number of concurrent queries that the descriptors and the memory allow; at least 1.
     pub query_capacity: usize,
     /// One permit for each byte of the statements in flight.
-    pub statement_bytes: Arc<Semaphore>,
+    pub statement_memory: Arc<Semaphore>,
     /// Size of the cache of answers, in bytes. It serves clients whose connection ended before they received their
     /// answer.
     pub answer_cache_bytes: usize,
@@ -79,7 +79,7 @@
             client_connections: Arc::new(Semaphore::new(clients)),
             engine_connections: Arc::new(Semaphore::new(engines)),
             query_capacity: open_clients.min(results).max(1),
-            statement_bytes: Arc::new(Semaphore::new(statement_bytes)),
+            statement_memory: Arc::new(Semaphore::new(statement_bytes)),
             answer_cache_bytes: memory_bytes / ANSWER_CACHE_MEMORY_DIVISOR,
         }
     }
--- a/crates/gateway/src/system/resource_budget/tests.rs
+++ b/crates/gateway/src/system/resource_budget/tests.rs
@@ -18,6 +18,6 @@
         "memory is the limit; the descriptors allow 341"
     );
     let in_use =
-        small.query_capacity * 2 * MAX_RESULT_BYTES + small.statement_bytes.available_permits();
+        small.query_capacity * 2 * MAX_RESULT_BYTES + small.statement_memory.available_permits();
     assert!(in_use < 20 << 20, "{in_use} bytes of 32 MB");
 }
