--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -42,7 +42,7 @@
 ///
 /// Returns an error if the log cannot be reached, the connection fails, or the status is not 200.
 pub(super) async fn open(log: SocketAddr, last_event: u64) -> Result<Incoming, OpenError> {
-    let socket = Socket::connect(log, &ConnectWait::for_other_end()).await?;
+    let socket = Socket::connect(log, &ConnectWait::remote()).await?;
     let stream = BudgetedStream::new(socket, None);
     let mut builder = http1::Builder::new();
     let (mut sender, connection) = builder
--- a/crates/gateway/src/engines/connect.rs
+++ b/crates/gateway/src/engines/connect.rs
@@ -32,7 +32,7 @@
         send_gate: Option<Arc<SendGate>>,
     ) -> Result<EngineConnection, CallError> {
         // The wait for a permit of the budget is not the engine's fault.
-        let wait = ConnectWait::for_this_machine();
+        let wait = ConnectWait::local();
         let connecting = self.open_connection(address, send_gate, &wait);
         match timeout(self.connect_timeout, connecting).await {
             Ok(Ok(connection)) => Ok(connection),
--- a/crates/gateway/src/system/socket.rs
+++ b/crates/gateway/src/system/socket.rs
@@ -42,14 +42,14 @@
 
 impl ConnectWait {
     /// A wait that starts with a local resource, such as a permit of the connection budget.
-    pub fn for_this_machine() -> Self {
+    pub fn local() -> Self {
         ConnectWait {
             is_local: AtomicBool::new(true),
         }
     }
 
     /// A wait that starts with the peer.
-    pub fn for_other_end() -> Self {
+    pub fn remote() -> Self {
         ConnectWait {
             is_local: AtomicBool::new(false),
         }
