--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -32,7 +32,7 @@
 impl SilentEngine {
     async fn start() -> SilentEngine {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let budget = ResourceBudget::of(ResourceLimits {
+        let budget = ResourceBudget::from_limits(ResourceLimits {
             descriptors: 64,
             memory_mb: 64,
             max_result_bytes: result_rows::MAX_RESULT_BYTES,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -294,7 +294,7 @@
 
 /// Splits the configured limits on descriptors and memory into budgets.
 fn resource_budget(config: &Config) -> ResourceBudget {
-    ResourceBudget::of(ResourceLimits {
+    ResourceBudget::from_limits(ResourceLimits {
         descriptors: config.descriptors,
         memory_mb: config.memory_mb,
         max_result_bytes: result_rows::MAX_RESULT_BYTES,
--- a/crates/gateway/src/system/resource_budget.rs
+++ b/crates/gateway/src/system/resource_budget.rs
@@ -60,7 +60,7 @@
     ///
     /// Clients get their share of the descriptors, plus a surplus for connections that are closing: the system accepts
     /// connections whether or not the gateway has room, and each of them must be answered. Engines get the rest.
-    pub fn of(limits: ResourceLimits) -> Self {
+    pub fn from_limits(limits: ResourceLimits) -> Self {
         let ResourceLimits {
             descriptors,
             memory_mb,
--- a/crates/gateway/src/system/resource_budget/tests.rs
+++ b/crates/gateway/src/system/resource_budget/tests.rs
@@ -2,7 +2,7 @@
 use crate::engines::result_rows::MAX_RESULT_BYTES;
 
 fn budget(descriptors: usize, memory_mb: usize) -> ResourceBudget {
-    ResourceBudget::of(ResourceLimits {
+    ResourceBudget::from_limits(ResourceLimits {
         descriptors,
         memory_mb,
         max_result_bytes: MAX_RESULT_BYTES,
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -192,7 +192,7 @@
         memory_mb: 192,
         max_result_bytes: MAX_RESULT_BYTES,
     };
-    let all = ResourceBudget::of(limits)
+    let all = ResourceBudget::from_limits(limits)
         .engine_connections
         .available_permits();
     let began = Instant::now();
