--- a/crates/gateway/src/http/accept.rs
+++ b/crates/gateway/src/http/accept.rs
@@ -56,7 +56,7 @@
                 has_failed = true;
                 tracing::warn!(%error, "accepting a client connection failed; repeats are not logged until one succeeds");
             }
-            Err(error) if os_error::needs_pause(&error) => sleep(ACCEPT_RETRY_PAUSE).await,
+            Err(error) if os_error::needs_accept_pause(&error) => sleep(ACCEPT_RETRY_PAUSE).await,
             Err(_) => {}
         }
     }
--- a/crates/gateway/src/http/client_stream.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -253,7 +253,7 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let mut state = self.0.state();
         let result = Pin::new(&mut state.io).poll_write(cx, bytes);
-        state.write_timeout.bounded(cx, result)
+        state.write_timeout.apply(cx, result)
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
@@ -275,6 +275,6 @@
     ) -> Poll<io::Result<usize>> {
         let mut state = self.0.state();
         let result = Pin::new(&mut state.io).poll_write_vectored(cx, buffers);
-        state.write_timeout.bounded(cx, result)
+        state.write_timeout.apply(cx, result)
     }
 }
--- a/crates/gateway/src/system/budgeted_stream.rs
+++ b/crates/gateway/src/system/budgeted_stream.rs
@@ -117,7 +117,7 @@
     ) -> Poll<io::Result<usize>> {
         self.allow_write_or_stop()?;
         let result = Pin::new(&mut self.io).poll_write(cx, buf);
-        self.write_timeout.bounded(cx, result)
+        self.write_timeout.apply(cx, result)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
@@ -143,6 +143,6 @@
     ) -> Poll<io::Result<usize>> {
         self.allow_write_or_stop()?;
         let result = Pin::new(&mut self.io).poll_write_vectored(cx, bufs);
-        self.write_timeout.bounded(cx, result)
+        self.write_timeout.apply(cx, result)
     }
 }
--- a/crates/gateway/src/system/os_error.rs
+++ b/crates/gateway/src/system/os_error.rs
@@ -46,7 +46,7 @@
 
 /// Whether an accept failed for lack of resources or without an error code. The next accept would fail at once too, so
 /// the caller pauses before it.
-pub fn needs_pause(error: &io::Error) -> bool {
+pub fn needs_accept_pause(error: &io::Error) -> bool {
     code(error).is_none_or(is_resource_exhaustion)
 }
 
--- a/crates/gateway/src/system/write_timeout.rs
+++ b/crates/gateway/src/system/write_timeout.rs
@@ -18,7 +18,7 @@
 impl WriteTimeout {
     /// Returns the result of polling a write, or an error of the kind [`io::ErrorKind::TimedOut`] once the write has
     /// been pending for 10 s.
-    pub fn bounded(
+    pub fn apply(
         &mut self,
         cx: &mut Context,
         result: Poll<io::Result<usize>>,
