--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -107,8 +107,8 @@
             return;
         };
         match kind {
-            CallKind::Start => gate.sending_started(),
-            CallKind::Poll | CallKind::Other => gate.later_call_begins(),
+            CallKind::Start => gate.record_sending_started(),
+            CallKind::Poll | CallKind::Other => gate.record_later_call(),
         }
     }
 
--- a/crates/gateway/src/engines/request.rs
+++ b/crates/gateway/src/engines/request.rs
@@ -72,7 +72,7 @@
         self.record_consumed(byte_count);
         if frame.is_none() || self.is_consumed() {
             if let Some(gate) = &self.gate {
-                gate.body_consumed();
+                gate.record_body_consumed();
             }
         }
         Poll::Ready(frame)
--- a/crates/gateway/src/system/send_gate.rs
+++ b/crates/gateway/src/system/send_gate.rs
@@ -8,10 +8,10 @@
 //!
 //! | state | event | next state |
 //! |---|---|---|
-//! | `NotStarted` | [`sending_started`](SendGate::sending_started) | `Sending` |
-//! | `Sending` | [`body_consumed`](SendGate::body_consumed) | `Buffered` |
+//! | `NotStarted` | [`record_sending_started`](SendGate::record_sending_started) | `Sending` |
+//! | `Sending` | [`record_body_consumed`](SendGate::record_body_consumed) | `Buffered` |
 //! | `Buffered` | `flushed` | `Sent` |
-//! | `NotStarted`, `Sending`, `Buffered` | [`later_call_begins`](SendGate::later_call_begins) | `Sent` |
+//! | `NotStarted`, `Sending`, `Buffered` | [`record_later_call`](SendGate::record_later_call) | `Sent` |
 //! | `NotStarted`, `Sending`, `Buffered` | `allow_write_or_stop`, if the write is not allowed | `Stopped` |
 //! | `NotStarted`, `Sending`, `Buffered` | [`stop_unless_complete`](SendGate::stop_unless_complete) | `Stopped` |
 //! | `Sent` | none: final, every later write is allowed | |
@@ -120,13 +120,13 @@
     }
 
     /// Records that the request is about to be handed to the connection.
-    pub fn sending_started(&self) {
+    pub fn record_sending_started(&self) {
         self.state
             .advance(SendState::NotStarted, SendState::Sending);
     }
 
     /// Records that the last byte of the request was handed to the connection.
-    pub fn body_consumed(&self) {
+    pub fn record_body_consumed(&self) {
         self.state.advance(SendState::Sending, SendState::Buffered);
     }
 
@@ -137,7 +137,7 @@
 
     /// Records that a later call of the attempt begins, perhaps on the same connection. The gate allows all of its
     /// writes, unless the request was stopped.
-    pub fn later_call_begins(&self) {
+    pub fn record_later_call(&self) {
         if !self.is_stopped() {
             self.state.set(SendState::Sent);
         }
--- a/crates/gateway/src/system/send_gate/tests.rs
+++ b/crates/gateway/src/system/send_gate/tests.rs
@@ -30,7 +30,7 @@
 fn request_is_stopped_at_its_first_write_if_the_engine_takes_no_new_attempts() {
     let test = TestGate::new();
     test.may_start.store(false, Ordering::Relaxed);
-    test.gate.sending_started();
+    test.gate.record_sending_started();
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Stopped);
     assert!(test.gate.is_stopped());
 }
@@ -38,7 +38,7 @@
 #[test]
 fn started_request_may_be_completed_while_its_engine_drains() {
     let test = TestGate::new();
-    test.gate.sending_started();
+    test.gate.record_sending_started();
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
     test.may_start.store(false, Ordering::Relaxed);
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
@@ -47,21 +47,21 @@
 #[test]
 fn unwanted_request_is_stopped_for_good() {
     let test = TestGate::new();
-    test.gate.sending_started();
+    test.gate.record_sending_started();
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
     test.is_wanted.store(false, Ordering::Relaxed);
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Stopped);
     test.is_wanted.store(true, Ordering::Relaxed);
-    test.gate.body_consumed();
+    test.gate.record_body_consumed();
     test.gate.flushed();
-    test.gate.later_call_begins();
+    test.gate.record_later_call();
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Stopped);
 }
 
 #[test]
 fn flush_before_the_last_byte_does_not_count_as_sent() {
     let test = TestGate::new();
-    test.gate.sending_started();
+    test.gate.record_sending_started();
     test.gate.flushed();
     assert_eq!(test.gate.stop_unless_complete(), StopOutcome::Stopped);
 }
@@ -69,8 +69,8 @@
 #[test]
 fn completely_sent_request_cannot_be_stopped() {
     let test = TestGate::new();
-    test.gate.sending_started();
-    test.gate.body_consumed();
+    test.gate.record_sending_started();
+    test.gate.record_body_consumed();
     test.gate.flushed();
     test.is_wanted.store(false, Ordering::Relaxed);
     assert_eq!(test.gate.stop_unless_complete(), StopOutcome::AlreadySent);
