--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -4,7 +4,7 @@
 //! The results are published in docs/results-scale.md.
 
 use divan::{black_box, Bencher};
-use garnetwall_gateway::discovery::{event_of_text, EngineList, Event, NameIndex, Selection};
+use garnetwall_gateway::discovery::{decode_event_text, EngineList, Event, NameIndex, Selection};
 use garnetwall_gateway::system::clock::Clock;
 use garnetwall_settings::Names;
 use garnetwall_subset::{RetryScope, SubsetSettings};
@@ -59,7 +59,7 @@
 }
 
 fn decode(text: &[u8]) -> Event {
-    event_of_text(text, &names()).expect("the event is valid")
+    decode_event_text(text, &names()).expect("the event is valid")
 }
 
 fn selection() -> Selection {
@@ -88,13 +88,13 @@
 #[divan::bench]
 fn decode_whole_list(bencher: Bencher) {
     let (text, names) = (whole_text(), names());
-    bencher.bench_local(|| event_of_text(black_box(&text), &names));
+    bencher.bench_local(|| decode_event_text(black_box(&text), &names));
 }
 
 #[divan::bench]
 fn decode_changed_line(bencher: Bencher) {
     let (text, names) = (event_text(2, false, 3000..3001, 5), names());
-    bencher.bench_local(|| event_of_text(black_box(&text), &names));
+    bencher.bench_local(|| decode_event_text(black_box(&text), &names));
 }
 
 #[divan::bench(args = [false, true])]
--- a/crates/gateway/src/configuration/initial_list.rs
+++ b/crates/gateway/src/configuration/initial_list.rs
@@ -31,7 +31,7 @@
         let mut events: Vec<Event> = Vec::with_capacity(results.len());
         for (index, result) in results.iter().enumerate() {
             let place = format!("known.results.{index}");
-            let event = discovery::event(result, &names)
+            let event = discovery::decode_event(result, &names)
                 .map_err(|error| malformed_event(&place, &error))?;
             let previous = events.last().map(|event| event.number);
             check_order(&place, event.number, previous, last_event)?;
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -21,7 +21,9 @@
 
 pub use driver::{ChangeHandler, Discovery, HealthCheckOutcome};
 pub use engine_health::{EngineHealth, Reachability, ReachabilityChange};
-pub use event::{event, event_of_text, EngineEntry, Event, EventError, EventErrorCause, NameIndex};
+pub use event::{
+    decode_event, decode_event_text, EngineEntry, Event, EventError, EventErrorCause, NameIndex,
+};
 pub use list::{EngineList, EngineUpdate, ListChange, Target};
 pub use selection::Selection;
 pub use watch::Watch;
--- a/crates/gateway/src/discovery/event.rs
+++ b/crates/gateway/src/discovery/event.rs
@@ -2,7 +2,7 @@
 
 mod decode;
 
-pub use decode::{event, event_of_text};
+pub use decode::{decode_event, decode_event_text};
 
 use garnetwall::api::{EndpointState, ListScope};
 use garnetwall_settings::Names;
--- a/crates/gateway/src/discovery/event/decode.rs
+++ b/crates/gateway/src/discovery/event/decode.rs
@@ -13,7 +13,7 @@
 /// # Errors
 ///
 /// Returns the error of the first value that is missing or invalid.
-pub fn event(json: &Value, names: &NameIndex) -> Result<Event, EventError> {
+pub fn decode_event(json: &Value, names: &NameIndex) -> Result<Event, EventError> {
     ReadInto(RawEvent::new(names))
         .deserialize(json)
         .unwrap_or(RawEvent::new(names))
@@ -26,7 +26,7 @@
 ///
 /// Returns the error of the first value that is missing or invalid. Text that is not valid JSON is treated as an event
 /// without any keys, and gives the error of the missing sequence number.
-pub fn event_of_text(text: &[u8], names: &NameIndex) -> Result<Event, EventError> {
+pub fn decode_event_text(text: &[u8], names: &NameIndex) -> Result<Event, EventError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let raw = ReadInto(RawEvent::new(names))
         .deserialize(&mut json)
--- a/crates/gateway/src/discovery/event/tests.rs
+++ b/crates/gateway/src/discovery/event/tests.rs
@@ -27,8 +27,8 @@
 
 /// Decodes an event from text and from parsed JSON, and checks that both results are equal.
 fn decoded(json: &Value) -> Result<Event, EventError> {
-    let of_text = event_of_text(json.to_string().as_bytes(), &names());
-    assert_eq!(of_text, event(json, &names()), "{json}");
+    let of_text = decode_event_text(json.to_string().as_bytes(), &names());
+    assert_eq!(of_text, decode_event(json, &names()), "{json}");
     of_text
 }
 
@@ -129,7 +129,7 @@
     }
     for text in ["", "{\"seq\": 1", "{\"seq\": 1} more", "\u{0}"] {
         let error = Err("seq: a number expected".into());
-        let decoded = event_of_text(text.as_bytes(), &names());
+        let decoded = decode_event_text(text.as_bytes(), &names());
         assert_eq!(error_text(decoded), error, "{text}");
     }
 }
@@ -138,7 +138,7 @@
 fn last_of_repeated_keys_and_first_of_repeated_names_apply() {
     let text = br#"{"seq": 1, "fleet": 3, "seq": 2, "fleet": {"full": null, "full": false, "servers": 3,
         "servers": [{"id": "a", "id": "b", "addr": "127.0.0.1:1", "zone": "east", "state": "DRAINING"}]}}"#;
-    let event = event_of_text(text, &names()).unwrap();
+    let event = decode_event_text(text, &names()).unwrap();
     assert_eq!(
         (event.number, event.scope, event.entries.len()),
         (2, ListScope::Delta, 1)
--- a/crates/gateway/src/discovery/sequence.rs
+++ b/crates/gateway/src/discovery/sequence.rs
@@ -1,6 +1,6 @@
 //! Accepts each event of the change log once and in order, regardless of which connection delivers it.
 
-use super::event::{event_of_text, Event, EventError, NameIndex};
+use super::event::{decode_event_text, Event, EventError, NameIndex};
 use super::stream::SseEvent;
 use garnetwall::api::ListScope;
 use thiserror::Error;
@@ -61,7 +61,7 @@
     /// before and is the next one.
     pub(super) fn accept(&mut self, sse_event: &SseEvent) -> Result<EventOutcome, SequenceError> {
         let expected = self.last.saturating_add(1);
-        let event = event_of_text(&sse_event.data, &self.names);
+        let event = decode_event_text(&sse_event.data, &self.names);
         let number = match &event {
             Ok(event) => event.number,
             Err(_) => sse_event.number.unwrap_or(expected),
--- a/crates/scale/src/slopes/roles/gateway_list.rs
+++ b/crates/scale/src/slopes/roles/gateway_list.rs
@@ -3,7 +3,7 @@
 use super::pool::{kind_name, subset_settings, zone_name, KIND_CORES, ZONES};
 use crate::slopes::quantities::Quantities;
 use crate::slopes::role::RoleError;
-use garnetwall_gateway::discovery::{event_of_text, EngineList, Event, NameIndex, Selection};
+use garnetwall_gateway::discovery::{decode_event_text, EngineList, Event, NameIndex, Selection};
 use garnetwall_gateway::system::clock::Clock;
 use garnetwall_settings::Names;
 use std::time::Duration;
@@ -54,7 +54,7 @@
     ///
     /// Where it is no event.
     pub fn decode(&self, text: &str) -> Result<Event, RoleError> {
-        event_of_text(text.as_bytes(), &self.names)
+        decode_event_text(text.as_bytes(), &self.names)
             .map_err(|error| RoleError::Data(error.to_string()))
     }
 
