--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,9 +1,9 @@
 //! Service discovery: maintains the engine list from the events of the change log.
 //!
-//! [`Watch`] follows the change log and decodes each event once and in order. [`Discovery`] applies the events to the
-//! [`EngineList`], which assigns the decision module's indices to engines. With an engine subset, [`Selection`] chooses
-//! its members, and only those are in the list. This module depends neither on the scheduler nor on the connections to
-//! engines; it delivers plain values.
+//! [`ChangeLogWatch`] follows the change log and decodes each event once and in order. [`Discovery`] applies the events
+//! to the [`EngineList`], which assigns the decision module's indices to engines. With an engine subset, [`Selection`]
+//! chooses its members, and only those are in the list. This module depends neither on the scheduler nor on the
+//! connections to engines; it delivers plain values.
 
 mod connection;
 mod connection_set;
@@ -26,4 +26,4 @@
 };
 pub use list::{EngineList, EngineUpdate, ListChange, Target};
 pub use selection::Selection;
-pub use watch::Watch;
+pub use watch::ChangeLogWatch;
--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -22,7 +22,7 @@
 //! - **Trickling**: it delivers bytes, but has completed no field for [`MAX_FIELD_DURATION`] and made no progress for
 //!   [`NOTIFICATION_DEADLINE`]. It is closed as [`LogCloseReason::Silent`].
 
-use crate::discovery::reconnect::Reconnect;
+use crate::discovery::reconnect::ReconnectBackoff;
 use std::time::Duration;
 
 /// The maximum number of concurrent connections to one log.
@@ -177,7 +177,7 @@
 /// The open connections to one change log.
 #[derive(Debug)]
 pub(super) struct ConnectionSet {
-    reconnect: Reconnect,
+    reconnect: ReconnectBackoff,
     /// The open connections, oldest first.
     open: Vec<TrackedConnection>,
     opened_count: u64,
@@ -192,7 +192,7 @@
 
 impl ConnectionSet {
     /// Creates a set without connections. The first [`poll`](Self::poll) opens one.
-    pub(super) fn new(reconnect: Reconnect) -> Self {
+    pub(super) fn new(reconnect: ReconnectBackoff) -> Self {
         ConnectionSet {
             reconnect,
             open: Vec::with_capacity(MAX_OPEN),
--- a/crates/gateway/src/discovery/connection_set/tests.rs
+++ b/crates/gateway/src/discovery/connection_set/tests.rs
@@ -10,7 +10,8 @@
 const STEP_MS: u64 = 10;
 /// Size of an event with a list of 3,200 engines, in bytes.
 const LONG_LIST: usize = 440_000;
-/// Reconnect pauses as the settings may have them, in milliseconds; [`Reconnect`] shortens those over 500 ms to 500 ms.
+/// Reconnect pauses as the settings may have them, in milliseconds; [`ReconnectBackoff`] shortens those over 500 ms to
+/// 500 ms.
 const RECONNECT_PAUSES_MS: [u64; 3] = [50, 250, 3000];
 
 /// The limit of concurrent connections to one log that docs/CAPACITY.md states; independent of [`MAX_OPEN`].
@@ -252,7 +253,7 @@
 }
 
 fn set(seed: u64, pause: u64) -> ConnectionSet {
-    ConnectionSet::new(Reconnect::new(ms(pause), seed))
+    ConnectionSet::new(ReconnectBackoff::new(ms(pause), seed))
 }
 
 fn any_behaviour() -> impl Strategy<Value = Behaviour> {
--- a/crates/gateway/src/discovery/reconnect.rs
+++ b/crates/gateway/src/discovery/reconnect.rs
@@ -6,21 +6,21 @@
 use std::time::Duration;
 
 /// The longest pause between the starts of two connections, without jitter.
-pub const MAX_PAUSE: Duration = Duration::from_millis(500);
+pub const MAX_RECONNECT_PAUSE: Duration = Duration::from_millis(500);
 
 /// The backoff of one gateway's connections to the change log.
 #[derive(Clone, Debug)]
-pub struct Reconnect {
+pub struct ReconnectBackoff {
     pause: Duration,
     random_state: u64,
 }
 
-impl Reconnect {
-    /// Creates a backoff with the given pause, limited to [`MAX_PAUSE`]. `seed` has to differ between the gateways of a
-    /// fleet.
+impl ReconnectBackoff {
+    /// Creates a backoff with the given pause, limited to [`MAX_RECONNECT_PAUSE`]. `seed` has to differ between the
+    /// gateways of a fleet.
     pub fn new(pause: Duration, seed: u64) -> Self {
-        Reconnect {
-            pause: pause.min(MAX_PAUSE),
+        ReconnectBackoff {
+            pause: pause.min(MAX_RECONNECT_PAUSE),
             random_state: seed,
         }
     }
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -9,7 +9,7 @@
 use super::event::{Event, NameIndex};
 use super::sequence::{EventOutcome, EventSequence, SequenceError};
 use super::stream::{EventParser, EventTooLong};
-use crate::discovery::reconnect::Reconnect;
+use crate::discovery::reconnect::ReconnectBackoff;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -127,7 +127,7 @@
 }
 
 /// A watch on the change log.
-pub struct Watch {
+pub struct ChangeLogWatch {
     /// The address of the log, which a configuration reload may change.
     log: watch::Receiver<SocketAddr>,
     sequence: EventSequence,
@@ -140,7 +140,7 @@
     started: Instant,
 }
 
-impl Watch {
+impl ChangeLogWatch {
     /// Creates a watch on the log at the current address in `log`. `last_event` is the number of the last event that
     /// was applied before; each later one is passed to `apply`. `names` resolves the names of zones and kinds.
     pub fn new(
@@ -149,7 +149,7 @@
         names: NameIndex,
         apply: Box<dyn FnMut(Event) + Send>,
     ) -> Self {
-        Watch {
+        ChangeLogWatch {
             log,
             sequence: EventSequence::new(last_event, names),
             apply,
@@ -161,7 +161,7 @@
 
     /// Follows the log until the future is dropped; it never completes. Only the first of successive errors is logged
     /// as a warning, until a connection is established again.
-    pub async fn follow(mut self, reconnect: Reconnect) {
+    pub async fn follow(mut self, reconnect: ReconnectBackoff) {
         let mut addresses = self.log.clone();
         let mut set = ConnectionSet::new(reconnect);
         let mut address = *addresses.borrow_and_update();
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -4,8 +4,10 @@
 use super::reload::apply_reloads;
 use super::Gateway;
 use crate::configuration::{subset, Config};
-use crate::discovery::reconnect::Reconnect;
-use crate::discovery::{Discovery, HealthCheckOutcome, ListChange, NameIndex, Selection, Watch};
+use crate::discovery::reconnect::ReconnectBackoff;
+use crate::discovery::{
+    ChangeLogWatch, Discovery, HealthCheckOutcome, ListChange, NameIndex, Selection,
+};
 use crate::engines::Engines;
 use crate::scheduling::scheduler::Scheduler;
 use crate::system::clock::clamped_duration;
@@ -59,9 +61,9 @@
     fn watch_change_log(&self, discovery: Arc<Discovery>, change_log: watch::Receiver<SocketAddr>) {
         let names = NameIndex::new(&self.config.platform.names);
         let apply = Box::new(move |event| discovery.apply(event));
-        let watch = Watch::new(change_log, self.config.last_initial_event, names, apply);
+        let watch = ChangeLogWatch::new(change_log, self.config.last_initial_event, names, apply);
         let connect_timeout = clamped_duration(self.config.platform.network.connect_timeout);
-        tokio::spawn(watch.follow(Reconnect::new(connect_timeout, self.config.seed)));
+        tokio::spawn(watch.follow(ReconnectBackoff::new(connect_timeout, self.config.seed)));
     }
 }
 
--- a/crates/gateway/tests/reconnect.rs
+++ b/crates/gateway/tests/reconnect.rs
@@ -1,13 +1,13 @@
 //! The pace of connections to the change log, without any clock or socket.
 
-use garnetwall_gateway::discovery::reconnect::{Reconnect, MAX_PAUSE};
+use garnetwall_gateway::discovery::reconnect::{ReconnectBackoff, MAX_RECONNECT_PAUSE};
 use std::time::Duration;
 
 const PAUSE: Duration = Duration::from_millis(250);
 
 #[test]
 fn log_that_closes_at_once_is_reconnected_to_at_most_once_per_backoff() {
-    let mut reconnect = Reconnect::new(PAUSE, 7);
+    let mut reconnect = ReconnectBackoff::new(PAUSE, 7);
     for lasted in [0, 1, 100, 249].map(Duration::from_millis) {
         for _ in 0..1000 {
             let apart = lasted + reconnect.next_pause(lasted);
@@ -22,7 +22,9 @@
 #[test]
 fn gateways_that_lose_the_log_together_reconnect_spread_over_a_backoff() {
     for lasted in [Duration::ZERO, Duration::from_secs(60)] {
-        let mut fleet: Vec<Reconnect> = (0..300).map(|seed| Reconnect::new(PAUSE, seed)).collect();
+        let mut fleet: Vec<ReconnectBackoff> = (0..300)
+            .map(|seed| ReconnectBackoff::new(PAUSE, seed))
+            .collect();
         for round in 0..10 {
             let mut tenths = [0; 10];
             for reconnect in &mut fleet {
@@ -37,6 +39,8 @@
 
 #[test]
 fn backoff_after_two_silent_connections_is_bounded_for_any_dial_timeout() {
-    let mut reconnect = Reconnect::new(Duration::from_secs(3), 7);
-    assert!((0..1000).all(|_| reconnect.next_pause(Duration::from_millis(2500)) < MAX_PAUSE));
+    let mut reconnect = ReconnectBackoff::new(Duration::from_secs(3), 7);
+    assert!(
+        (0..1000).all(|_| reconnect.next_pause(Duration::from_millis(2500)) < MAX_RECONNECT_PAUSE)
+    );
 }
