--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -24,6 +24,6 @@
 pub use event::{
     decode_event, decode_event_text, EngineEntry, Event, EventError, EventErrorCause, NameIndex,
 };
-pub use list::{EngineList, EngineUpdate, ListChange, Target};
+pub use list::{EngineList, EngineTarget, EngineUpdate, ListChange};
 pub use selection::Selection;
 pub use watch::ChangeLogWatch;
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -18,9 +18,9 @@
 use subset_log::SubsetLog;
 use tokio::sync::{watch, Notify};
 
-/// The destination of an attempt. Later changes of the list do not affect it.
+/// The destination of an attempt or of a health check. Later changes of the list do not affect it.
 #[derive(Clone, Copy, Debug)]
-pub struct Target {
+pub struct EngineTarget {
     /// The decision module's index of the engine.
     pub engine: EngineId,
     /// The address at which the engine listened when the target was created.
@@ -161,13 +161,13 @@
     }
 
     /// Returns the target of attempts at an engine; `None` if no engine has this index.
-    pub fn target(&self, engine: EngineId) -> Option<Target> {
+    pub fn target(&self, engine: EngineId) -> Option<EngineTarget> {
         let address = self.state().table.address(engine)?;
-        Some(Target { engine, address })
+        Some(EngineTarget { engine, address })
     }
 
     /// Whether the target's engine is ready for attempts and still has the target's address.
-    pub fn accepts_attempts(&self, target: Target) -> bool {
+    pub fn accepts_attempts(&self, target: EngineTarget) -> bool {
         let table = &self.state().table;
         table.state(target.engine) == Some(EndpointState::Ready)
             && table.address(target.engine) == Some(target.address)
@@ -176,7 +176,7 @@
     /// Records whether the target's engine could be reached, if it still has the target's address.
     pub fn record_reachability(
         &self,
-        target: Target,
+        target: EngineTarget,
         reachability: Reachability,
     ) -> ReachabilityChange {
         let table = &mut self.state().table;
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -16,7 +16,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use crate::discovery::Target;
+pub use crate::discovery::EngineTarget;
 pub use client_presence::ClientPresence;
 pub use messages::{
     AttemptEvents, AttemptResult, AttemptStart, CancellationState, ForwardedQuery, Statement,
@@ -108,7 +108,7 @@
     }
 
     /// The address to which attempts at an engine are sent; `None` if the engine is not in the endpoint list.
-    pub fn target(&self, engine: EngineId) -> Option<Target> {
+    pub fn target(&self, engine: EngineId) -> Option<EngineTarget> {
         self.list.target(engine)
     }
 
@@ -118,7 +118,7 @@
     /// attempt does not run, within the ledger's time bound. Facts that become known earlier are sent to `events`.
     pub async fn run_attempt(
         &self,
-        target: Target,
+        target: EngineTarget,
         query: &ForwardedQuery,
         start: AttemptStart,
         cancellation: watch::Receiver<CancellationState>,
@@ -147,7 +147,7 @@
     /// is sent; a request that is already being sent may complete while the engine drains.
     fn send_gate(
         &self,
-        target: Target,
+        target: EngineTarget,
         start: &AttemptStart,
         cancellation: watch::Receiver<CancellationState>,
     ) -> SendGate {
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -38,7 +38,7 @@
 };
 use super::request::{page_path, request, Sender};
 use super::response::CallError;
-use super::{Engines, Target};
+use super::{EngineTarget, Engines};
 use crate::system::budgeted_stream::AbortFlag;
 use crate::system::send_gate::SendGate;
 use call_timeout::CallTimeout;
@@ -55,7 +55,7 @@
 /// time, which no other session shares. The connection is replaced if it is lost or has carried an unreadable response.
 pub(super) struct EngineSession<'a> {
     engines: &'a Engines,
-    target: Target,
+    target: EngineTarget,
     /// The attempt's ledger entry; `None` for a health check.
     ledger_id: Option<AttemptId>,
     /// The open connection, if it has no call in flight.
@@ -81,7 +81,7 @@
     /// Creates the session of an attempt of a query.
     pub(super) fn for_attempt(
         engines: &'a Engines,
-        target: Target,
+        target: EngineTarget,
         ledger_id: AttemptId,
         send_gate: SendGate,
         start: &AttemptStart,
@@ -98,7 +98,7 @@
     }
 
     /// Creates the session of a health check, which has no ledger entry and no deadline of its own.
-    pub(super) fn for_health_check(engines: &'a Engines, target: Target) -> Self {
+    pub(super) fn for_health_check(engines: &'a Engines, target: EngineTarget) -> Self {
         let now = Instant::now();
         EngineSession {
             engines,
--- a/crates/gateway/src/engines/health_check.rs
+++ b/crates/gateway/src/engines/health_check.rs
@@ -5,7 +5,7 @@
 use super::request::request;
 use super::response::{CallError, Reply};
 use super::Engines;
-use crate::discovery::{HealthCheckOutcome, Reachability, ReachabilityChange, Target};
+use crate::discovery::{EngineTarget, HealthCheckOutcome, Reachability, ReachabilityChange};
 use garnetwall::api::{AttemptEnd, EngineId};
 use http::{Method, StatusCode};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 
     /// Checks the health of an engine that the admission controller does not know yet.
     pub async fn connect_by_health_check(&self, address: SocketAddr) -> HealthCheckOutcome {
-        let target = Target {
+        let target = EngineTarget {
             engine: UNLISTED_ENGINE,
             address,
         };
@@ -46,7 +46,7 @@
         HealthCheckOutcome { end, report: None }
     }
 
-    async fn check_target(&self, target: Target) -> HealthCheckOutcome {
+    async fn check_target(&self, target: EngineTarget) -> HealthCheckOutcome {
         let stats = request(Method::GET, target.address, HEALTH_CHECK_PATH);
         let time_limit = self.connect_timeout * 2;
         let response = EngineSession::for_health_check(self, target)
@@ -60,8 +60,8 @@
     }
 
     /// Logs when an engine becomes unreachable and when it becomes reachable again, once for each change.
-    pub(super) fn log_reachability(&self, target: Target, error: Option<&CallError>) {
-        let Target { engine, address } = target;
+    pub(super) fn log_reachability(&self, target: EngineTarget, error: Option<&CallError>) {
+        let EngineTarget { engine, address } = target;
         let reachability = match error {
             None => Reachability::Reachable,
             Some(CallError::ConnectionRefused | CallError::ConnectFailed) => {
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -2,7 +2,7 @@
 //! scheduler's commands.
 
 use super::{EndedAttempt, QueryStatus, QueryTask, ScheduledAttempt};
-use crate::engines::{AttemptEvents, AttemptResult, AttemptStart, CancellationState, Target};
+use crate::engines::{AttemptEvents, AttemptResult, AttemptStart, CancellationState, EngineTarget};
 use crate::scheduling::scheduler::{Command, Scheduler};
 use crate::storage::query_journal::SendPermission;
 use garnetwall::api::{AttemptEnd, Progress};
@@ -40,7 +40,7 @@
     pub(super) async fn run(
         task: &'a mut QueryTask,
         attempt: ScheduledAttempt,
-        target: Target,
+        target: EngineTarget,
         start: AttemptStart,
     ) -> EndedAttempt {
         let (cancellation, cancellation_requests) = watch::channel(CancellationState::NotRequested);
@@ -190,7 +190,7 @@
 fn exchange(
     task: &QueryTask,
     attempt: ScheduledAttempt,
-    target: Target,
+    target: EngineTarget,
     start: AttemptStart,
     cancellation: watch::Receiver<CancellationState>,
     events: AttemptEvents,
