--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -4,7 +4,9 @@
 //! The results are published in docs/results-scale.md.
 
 use divan::{black_box, Bencher};
-use garnetwall_gateway::discovery::{decode_event_text, EngineList, Event, NameIndex, Selection};
+use garnetwall_gateway::discovery::{
+    decode_event_text, EngineList, Event, NameIndex, SubsetSelection,
+};
 use garnetwall_gateway::system::clock::Clock;
 use garnetwall_settings::Names;
 use garnetwall_subset::{RetryScope, SubsetSettings};
@@ -62,7 +64,7 @@
     decode_event_text(text, &names()).expect("the event is valid")
 }
 
-fn selection() -> Selection {
+fn selection() -> SubsetSelection {
     let settings = SubsetSettings {
         size: 80,
         class_floor: 4,
@@ -74,7 +76,7 @@
         classes: Vec::new(),
         retry_scope: RetryScope::Everywhere,
     };
-    Selection::new("g-17", settings, vec![Some(64.0); KINDS]).expect("the settings are valid")
+    SubsetSelection::new("g-17", settings, vec![Some(64.0); KINDS]).expect("the settings are valid")
 }
 
 fn list(subset: bool) -> EngineList {
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,9 +1,9 @@
 //! Service discovery: maintains the engine list from the events of the change log.
 //!
 //! [`ChangeLogWatch`] follows the change log and decodes each event once and in order. [`Discovery`] applies the events
-//! to the [`EngineList`], which assigns the decision module's indices to engines. With an engine subset, [`Selection`]
-//! chooses its members, and only those are in the list. This module depends neither on the scheduler nor on the
-//! connections to engines; it delivers plain values.
+//! to the [`EngineList`], which assigns the decision module's indices to engines. With an engine subset,
+//! [`SubsetSelection`] chooses its members, and only those are in the list. This module depends neither on the
+//! scheduler nor on the connections to engines; it delivers plain values.
 
 mod connection;
 mod connection_set;
@@ -25,5 +25,5 @@
     decode_event, decode_event_text, EngineEntry, Event, EventError, EventErrorCause, NameIndex,
 };
 pub use list::{EngineList, EngineTarget, EngineUpdate, ListChange};
-pub use selection::Selection;
+pub use selection::SubsetSelection;
 pub use watch::ChangeLogWatch;
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -8,7 +8,7 @@
 
 use super::engine_health::{EngineHealth, Reachability, ReachabilityChange};
 use super::event::Event;
-use super::selection::{Candidate, Selection};
+use super::selection::{Candidate, SubsetSelection};
 use crate::system::clock::{clamped_duration, Clock};
 use engine_table::{EngineTable, StateCounts};
 use garnetwall::api::{Endpoint, EndpointState, EngineId, ListScope};
@@ -60,14 +60,14 @@
 struct ListState {
     table: EngineTable,
     /// `None` if no engine subset is configured, and the gateway uses the full list.
-    selection: Option<Selection>,
+    selection: Option<SubsetSelection>,
     subset_log: SubsetLog,
 }
 
 impl EngineList {
     /// Creates an empty list. `retention` is the longest time for which queries may refer to an engine after its
     /// removal. `selection` chooses the engine subset; `None` means the full list.
-    pub fn new(retention: Duration, clock: Clock, selection: Option<Selection>) -> Self {
+    pub fn new(retention: Duration, clock: Clock, selection: Option<SubsetSelection>) -> Self {
         let state = ListState {
             table: EngineTable::new(retention),
             selection,
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -70,7 +70,7 @@
 }
 
 /// The full engine list and this gateway's subset of it.
-pub struct Selection {
+pub struct SubsetSelection {
     catalog: Catalog,
     details: HashMap<EngineKey, Details>,
     subset: Subset,
@@ -84,7 +84,7 @@
     kind_cores: Vec<Option<f64>>,
 }
 
-impl Selection {
+impl SubsetSelection {
     /// Creates an empty selection for the gateway of this name. `kind_cores` has the number of cores by the index of
     /// the kind, `None` if unknown.
     ///
@@ -96,7 +96,7 @@
         settings: SubsetSettings,
         kind_cores: Vec<Option<f64>>,
     ) -> Result<Self, SubsetError> {
-        Ok(Selection {
+        Ok(SubsetSelection {
             catalog: Catalog::default(),
             details: HashMap::new(),
             subset: Subset::new(gateway, settings)?,
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -64,7 +64,7 @@
         events in proptest::collection::vec(
             (any::<bool>(), proptest::collection::vec((0..ENGINES, 0_u8..6, 0_u8..3), 0..40), any::<bool>()), 1..20)
     ) {
-        let mut selection = Selection::new("g0", settings(8), vec![Some(16.0)]).unwrap();
+        let mut selection = SubsetSelection::new("g0", settings(8), vec![Some(16.0)]).unwrap();
         let (mut module, mut list, mut now) = (ModuleView::default(), BTreeMap::new(), 100.0);
         for (is_full, entries, is_reached) in events {
             let scope = if is_full { ListScope::Full } else { ListScope::Delta };
@@ -101,7 +101,7 @@
 /// may be retried.
 #[test]
 fn leaving_member_is_removed_once_with_its_listed_entry() {
-    let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
+    let mut selection = SubsetSelection::new("g0", settings(8), Vec::new()).unwrap();
     let entries = (0..4).map(|n| entry(n, EndpointState::Ready, 1)).collect();
     assert_eq!(selection.apply(0.0, entries, ListScope::Full).len(), 4);
     let selected = selection.apply(
@@ -129,7 +129,7 @@
 /// Changed details of a member reach the decision module though the choice of members does not depend on them.
 #[test]
 fn restarted_member_is_returned_again() {
-    let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
+    let mut selection = SubsetSelection::new("g0", settings(8), Vec::new()).unwrap();
     assert_eq!(
         selection
             .apply(
@@ -175,7 +175,7 @@
         (500.0, 8, SizeReason::Configured),
         (60.0, 12, SizeReason::MinHolders),
     ] {
-        let mut selection = Selection::new("g0", of(gateways), Vec::new()).unwrap();
+        let mut selection = SubsetSelection::new("g0", of(gateways), Vec::new()).unwrap();
         selection.apply(
             0.0,
             (0..ENGINES)
@@ -198,7 +198,7 @@
 /// A member whose attempts fail widens the subset by one engine, which becomes a member only after it has been reached.
 #[test]
 fn failing_attempts_widen_the_subset_by_reached_engines() {
-    let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
+    let mut selection = SubsetSelection::new("g0", settings(8), Vec::new()).unwrap();
     let mut module = ModuleView::default();
     module.update(
         selection.apply(
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -6,7 +6,7 @@
 use crate::configuration::{subset, Config};
 use crate::discovery::reconnect::ReconnectBackoff;
 use crate::discovery::{
-    ChangeLogWatch, Discovery, HealthCheckOutcome, ListChange, NameIndex, Selection,
+    ChangeLogWatch, Discovery, HealthCheckOutcome, ListChange, NameIndex, SubsetSelection,
 };
 use crate::engines::Engines;
 use crate::scheduling::scheduler::Scheduler;
@@ -69,12 +69,12 @@
 
 /// Creates the engine subset that the configuration asks for. `None` means that the gateway uses the whole engine list:
 /// no subset is configured, or its settings are rejected.
-pub(super) fn engine_selection(config: &Config, classes: &[QueryClass]) -> Option<Selection> {
+pub(super) fn engine_selection(config: &Config, classes: &[QueryClass]) -> Option<SubsetSelection> {
     let mut settings = config.subset.clone()?;
     // A plan may narrow the retry scope of a class; a greater scope is a narrower one.
     settings.retry_scope = settings.retry_scope.max(subset::retry_scope(classes));
     let kind_cores = config.platform.settings.kind_cores.clone();
-    match Selection::new(&config.name, settings, kind_cores) {
+    match SubsetSelection::new(&config.name, settings, kind_cores) {
         Ok(selection) => Some(selection),
         Err(error) => {
             tracing::error!(%error, "engine subset settings rejected, using the whole engine list");
--- a/crates/scale/src/slopes/roles/gateway_list.rs
+++ b/crates/scale/src/slopes/roles/gateway_list.rs
@@ -3,7 +3,9 @@
 use super::pool::{kind_name, subset_settings, zone_name, KIND_CORES, ZONES};
 use crate::slopes::quantities::Quantities;
 use crate::slopes::role::RoleError;
-use garnetwall_gateway::discovery::{decode_event_text, EngineList, Event, NameIndex, Selection};
+use garnetwall_gateway::discovery::{
+    decode_event_text, EngineList, Event, NameIndex, SubsetSelection,
+};
 use garnetwall_gateway::system::clock::Clock;
 use garnetwall_settings::Names;
 use std::time::Duration;
@@ -31,7 +33,7 @@
         };
         let select = |size| {
             let settings = subset_settings(size, quantities.gateways);
-            Selection::new(
+            SubsetSelection::new(
                 "gateway-0",
                 settings,
                 KIND_CORES.iter().copied().map(Some).collect(),
