--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -205,7 +205,7 @@
             answers_start,
             is_failure: reported == AttemptEnd::Failed,
         };
-        let end = match reported_end.weigh(!self.may_run()) {
+        let end = match reported_end.evaluate(!self.may_run()) {
             ReportVerdict::Accepted => reported,
             ReportVerdict::Interrupted => AttemptEnd::ConnectionLost,
             ReportVerdict::Inconclusive => return PollOutcome::Unknown,
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -12,7 +12,7 @@
 use crate::storage::query_journal::millis;
 use crate::system::clock::minute_of_day;
 use garnetwall::api::{Query, QueryId};
-use garnetwall_ledger::records::{StartedQuery, RUN_MARGIN};
+use garnetwall_ledger::records::{StartedQuery, RUN_TIME_MARGIN};
 use std::fmt;
 use std::hash::BuildHasher;
 use std::sync::Arc;
@@ -299,12 +299,12 @@
     }
 }
 
-/// The journal's record of a query. The query may run for up to [`RUN_MARGIN`] after its deadline.
+/// The journal's record of a query. The query may run for up to [`RUN_TIME_MARGIN`] after its deadline.
 fn journal_entry(arriving: &ArrivingQuery, deadline: f64) -> StartedQuery {
     StartedQuery {
         query_key: arriving.query_key,
         ordering_key: arriving.ordering_key,
-        may_run_until_ms: millis(deadline + RUN_MARGIN.as_secs_f64()),
+        may_run_until_ms: millis(deadline + RUN_TIME_MARGIN.as_secs_f64()),
     }
 }
 
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -9,7 +9,7 @@
 use crate::system::os_error::is_transient;
 pub use garnetwall_ledger::journal::RecoveredQuery;
 use garnetwall_ledger::journal::{FileStorage, Journal, JournalError, StartedJournal};
-use garnetwall_ledger::records::{Boot, StartedQuery, RUN_MARGIN};
+use garnetwall_ledger::records::{Boot, StartedQuery, RUN_TIME_MARGIN};
 use std::io;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -95,15 +95,18 @@
         };
         let boot = Boot {
             boot_id: boot_clock.boot_id,
-            longest_query_run_ms: millis(longest_deadline) + RUN_MARGIN.as_millis() as u64,
+            longest_query_run_ms: millis(longest_deadline) + RUN_TIME_MARGIN.as_millis() as u64,
         };
-        let StartedJournal { journal, restored } = Journal::start(
+        let StartedJournal {
+            journal,
+            restore_result,
+        } = Journal::start(
             FileStorage::new(&path),
             boot,
             move || boot_clock.millis(),
             Box::new(on_journal_read),
         );
-        check_opened(&path, restored)?;
+        check_opened(&path, restore_result)?;
         Ok(QueryJournal {
             open: Some(OpenJournal {
                 journal,
--- a/crates/gateway/tests/world/exchange.rs
+++ b/crates/gateway/tests/world/exchange.rs
@@ -195,7 +195,7 @@
                     answers_start: call == Call::Start,
                     is_failure: true,
                 };
-                match reported_end.weigh(over) {
+                match reported_end.evaluate(over) {
                     ReportVerdict::Accepted => self.end_attempt(n, AttemptEnd::Failed),
                     ReportVerdict::Interrupted => self.end_attempt(n, AttemptEnd::ConnectionLost),
                     ReportVerdict::Inconclusive => self.abandon_with_unknown_outcome(n),
--- a/crates/ledger/benches/journal.rs
+++ b/crates/ledger/benches/journal.rs
@@ -19,9 +19,11 @@
             boot_id: 1,
             longest_query_run_ms: 1000,
         };
-        let StartedJournal { journal, restored } =
-            Journal::start(FileStorage::new(&path), boot, || 0, Box::new(drop));
-        restored.unwrap_or_else(|e| panic!("{e}"));
+        let StartedJournal {
+            journal,
+            restore_result,
+        } = Journal::start(FileStorage::new(&path), boot, || 0, Box::new(drop));
+        restore_result.unwrap_or_else(|e| panic!("{e}"));
         let (on_written, written) = channel();
         let started_at = Instant::now();
         let send = |id: u64| {
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -36,7 +36,7 @@
     pub journal: Journal,
     /// Whether the stored journal could be read and replaced at the start. After an error the journal retries
     /// periodically, and rejects each started query until that succeeds.
-    pub restored: io::Result<()>,
+    pub restore_result: io::Result<()>,
 }
 
 impl Journal {
@@ -51,14 +51,17 @@
         recovery: RecoveryCallback,
     ) -> StartedJournal {
         let mut writer = Writer::new(storage, boot, clock_ms, recovery);
-        let restored = writer.restore();
+        let restore_result = writer.restore();
         let (commands, receiver) = channel();
         let thread = std::thread::spawn(move || writer.run(&receiver));
         let journal = Journal {
             commands,
             thread: Some(thread),
         };
-        StartedJournal { journal, restored }
+        StartedJournal {
+            journal,
+            restore_result,
+        }
     }
 
     /// Records that a non-idempotent query is about to be sent. The query may be sent once `on_written` was called with
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -22,7 +22,7 @@
 
 /// Time after its deadline for which a non-idempotent query counts as possibly running. Longer than the time after
 /// which engines drop an attempt that is not polled.
-pub const RUN_MARGIN: Duration = Duration::from_secs(5);
+pub const RUN_TIME_MARGIN: Duration = Duration::from_secs(5);
 
 /// Size of an encoded record, in bytes.
 pub const RECORD_BYTES: usize = 32;
--- a/crates/ledger/src/reported_end.rs
+++ b/crates/ledger/src/reported_end.rs
@@ -25,7 +25,7 @@
 impl ReportedEnd {
     /// Returns the conclusion from the report. `is_proved` is true if the ledger has a proof that the attempt no longer
     /// runs.
-    pub fn weigh(self, is_proved: bool) -> ReportVerdict {
+    pub fn evaluate(self, is_proved: bool) -> ReportVerdict {
         if self.answers_start {
             return ReportVerdict::Accepted;
         }
--- a/crates/ledger/tests/journal.rs
+++ b/crates/ledger/tests/journal.rs
@@ -197,10 +197,12 @@
         first_failure,
         failures,
     };
-    let StartedJournal { journal, restored } =
-        Journal::start(storage.clone(), BOOT, || 0, ignore_recovery());
+    let StartedJournal {
+        journal,
+        restore_result,
+    } = Journal::start(storage.clone(), BOOT, || 0, ignore_recovery());
     assert_eq!(
-        restored.is_ok(),
+        restore_result.is_ok(),
         first_failure > 2,
         "operations 1 and 2 are the first read and the first replacement"
     );
@@ -284,13 +286,16 @@
 fn expired_queries_are_removed_and_the_file_stays_small() {
     let path = std::env::temp_dir().join(format!("garnetwall-compact-{}", std::process::id()));
     // All queries but the last ten have expired by this time.
-    let StartedJournal { journal, restored } = Journal::start(
+    let StartedJournal {
+        journal,
+        restore_result,
+    } = Journal::start(
         FileStorage::new(&path),
         BOOT,
         || 1_000_000,
         ignore_recovery(),
     );
-    restored.unwrap();
+    restore_result.unwrap();
     for id in 0..20_000u64 {
         let may_run_until_ms = if id < 19_990 { 1 } else { u64::MAX };
         let waits_for_commit = id.is_multiple_of(100);
@@ -319,9 +324,11 @@
 /// Runs in the child process until it is killed: records queries, and prints the id of each that is confirmed or
 /// finished.
 fn write_until_killed(path: &Path, first_id: u64) {
-    let StartedJournal { journal, restored } =
-        Journal::start(FileStorage::new(path), BOOT, || 0, ignore_recovery());
-    restored.unwrap();
+    let StartedJournal {
+        journal,
+        restore_result,
+    } = Journal::start(FileStorage::new(path), BOOT, || 0, ignore_recovery());
+    restore_result.unwrap();
     for id in first_id.. {
         commit(&journal, id).unwrap();
         println!("started {id}");
--- a/crates/ledger/tests/stored_records.rs
+++ b/crates/ledger/tests/stored_records.rs
@@ -130,9 +130,11 @@
     let (recovered, recovery) = channel();
     let storage = FileStorage::new(&path);
     let callback = Box::new(move |all| drop(recovered.send(all)));
-    let StartedJournal { journal, restored } =
-        Journal::start(storage, BOOT, || 1_138_170, callback);
-    restored.unwrap();
+    let StartedJournal {
+        journal,
+        restore_result,
+    } = Journal::start(storage, BOOT, || 1_138_170, callback);
+    restore_result.unwrap();
     assert_eq!(recovery.recv().unwrap(), all_recovered());
     journal.record_finished(THIRD.query_key);
     drop(journal);
