--- a/crates/bodies/src/body/tests.rs
+++ b/crates/bodies/src/body/tests.rs
@@ -137,7 +137,7 @@
                     Counts {
                         bodies: 1,
                         retry_reads: 2,
-                        missing: 0
+                        discarded: 0
                     },
                     "{length} {announced:?}"
                 );
@@ -209,7 +209,7 @@
             matches!(body.reader(ReadBy::Retry), Err(ReadError::Discarded)),
             "a retry cannot read the body"
         );
-        assert_eq!(store.counts()[&(0, Storage::NotStored)].missing, 1);
+        assert_eq!(store.counts()[&(0, Storage::NotStored)].discarded, 1);
         fake.writes_left.store(-1, Ordering::Relaxed);
         drop(body);
         assert_eq!(
--- a/crates/bodies/src/reader.rs
+++ b/crates/bodies/src/reader.rs
@@ -67,7 +67,7 @@
         if !self.rewind() {
             self.resources
                 .count(self.class, Storage::NotStored, |counts| {
-                    counts.missing += 1;
+                    counts.discarded += 1;
                 });
             return Err(ReadError::Discarded);
         }
--- a/crates/bodies/src/resources.rs
+++ b/crates/bodies/src/resources.rs
@@ -14,7 +14,7 @@
     /// Retries that opened a reader for a body.
     pub retry_reads: u64,
     /// Readers that could not be opened because the start of the body was discarded.
-    pub missing: u64,
+    pub discarded: u64,
 }
 
 /// Budgets, spool file and counts of one store.
--- a/crates/gateway/src/storage/body_store.rs
+++ b/crates/gateway/src/storage/body_store.rs
@@ -51,7 +51,7 @@
             ?storage,
             bodies = counts.bodies,
             retry_reads = counts.retry_reads,
-            missing = counts.missing,
+            missing = counts.discarded,
             "request body counts"
         );
     }
