--- a/crates/gateway/src/configuration/subset.rs
+++ b/crates/gateway/src/configuration/subset.rs
@@ -185,7 +185,7 @@
             kinds: indices(&pool.kinds, &names.kinds),
         };
         // A pool that is only a union of other pools needs no placement class, since those pools add theirs.
-        if pool.selects() && class != PlacementClass::default() {
+        if pool.has_selectors() && class != PlacementClass::default() {
             settings.classes.push(class);
         }
     }
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -76,7 +76,7 @@
 
 impl Plan {
     /// Returns for each pool, by index, whether it contains the engine.
-    pub fn pools_of(&self, engine: &EngineFacts) -> Vec<bool> {
+    pub fn pool_membership(&self, engine: &EngineFacts) -> Vec<bool> {
         let in_set = |set: usize| {
             let set = self.addresses.get(set);
             set.is_some_and(|set| set.contains(engine.address))
@@ -137,7 +137,7 @@
     /// Returns for each pool of the query's route, in order of preference, whether the query may run on the engine as a
     /// member of that pool. Without a route, or if the route names no pool, there is a single level with all engines.
     pub fn priority_levels(&self, query: &QueryFacts, engine: &EngineFacts) -> Vec<bool> {
-        let matching = self.pools_of(engine);
+        let matching = self.pool_membership(engine);
         let route = self.route_of(query);
         let mut classes = vec![query.class];
         classes.extend(route.and_then(|route| route.as_class.as_deref()));
--- a/crates/plan/src/model/sets.rs
+++ b/crates/plan/src/model/sets.rs
@@ -55,7 +55,7 @@
 
 impl Pool {
     /// Returns whether the pool has entries that select engines directly, apart from `union`.
-    pub fn selects(&self) -> bool {
+    pub fn has_selectors(&self) -> bool {
         let names = [&self.zones, &self.kinds, &self.ids];
         self.all || !self.addresses.is_empty() || names.iter().any(|names| !names.is_empty())
     }
@@ -73,7 +73,7 @@
             names.is_empty() || names.iter().any(|name| matches(name))
         };
         let in_sets = self.addresses.is_empty() || self.addresses.iter().any(|set| address(*set));
-        self.selects()
+        self.has_selectors()
             && any(&self.zones, &zone)
             && any(&self.kinds, &kind)
             && any(&self.ids, &id)
--- a/crates/plan/tests/generate/mod.rs
+++ b/crates/plan/tests/generate/mod.rs
@@ -288,7 +288,7 @@
 
 /// Returns the outcomes of a plan by route and class; the last row is that of queries that no route matches.
 pub fn outcomes(plan: &Plan, engines: &[EngineFacts]) -> Vec<Vec<Outcome>> {
-    let pools_of: Vec<Vec<bool>> = engines.iter().map(|e| plan.pools_of(e)).collect();
+    let memberships: Vec<Vec<bool>> = engines.iter().map(|e| plan.pool_membership(e)).collect();
     let all_classes: Vec<&str> = CLASSES.into_iter().chain(["other"]).collect();
     let eval = |route: Option<&garnetwall_plan::model::Route>, class: &str| {
         if let Some(reason) = route.and_then(|r| r.reject_reason.clone()) {
@@ -300,8 +300,8 @@
         let mut levels = Vec::new();
         for n in 0..to.len().max(1) {
             let is_usable = |e: &usize| {
-                to.get(n).is_none_or(|pool| pools_of[*e][*pool])
-                    && plan.allows(&[class, treated_as], &pools_of[*e])
+                to.get(n).is_none_or(|pool| memberships[*e][*pool])
+                    && plan.allows(&[class, treated_as], &memberships[*e])
             };
             let level: Vec<usize> = (0..engines.len())
                 .filter(|e| !used[*e])
--- a/crates/routing/src/pool_members.rs
+++ b/crates/routing/src/pool_members.rs
@@ -22,7 +22,7 @@
 
     /// Adds or updates an engine, or removes it if `facts` is `None`.
     pub fn update(&mut self, routing: &Routing, engine: usize, facts: Option<&EngineFacts>) {
-        let member_of = facts.map(|facts| routing.plan().pools_of(facts));
+        let member_of = facts.map(|facts| routing.plan().pool_membership(facts));
         self.all.set(engine, facts.is_some());
         for (n, pool) in self.pools.iter_mut().enumerate() {
             pool.set(engine, member_of.as_ref().is_some_and(|pools| pools[n]));
