--- a/crates/plan/src/build/consistency/limits.rs
+++ b/crates/plan/src/build/consistency/limits.rs
@@ -2,7 +2,7 @@
 
 use super::ConsistencyCheck;
 use crate::diagnostic::Diagnostic;
-use crate::model::{Limit, Per, Tenant};
+use crate::model::{Limit, LimitDimension, Tenant};
 
 impl ConsistencyCheck<'_> {
     pub(super) fn check_limits(&mut self) {
@@ -77,7 +77,7 @@
 
 /// Returns whether a limit counts every query of a tenant, with or without the queries of other tenants.
 fn covers(limit: &Limit, tenant: &Tenant) -> bool {
-    let counts_tenants = limit.per.iter().all(|per| *per == Per::Tenant);
+    let counts_tenants = limit.per.iter().all(|per| *per == LimitDimension::Tenant);
     let is_tenant = limit.tenants.is_empty() || limit.tenants == [tenant.name.clone()];
     counts_tenants && limit.classes.is_empty() && limit.clients.is_empty() && is_tenant
 }
--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -5,7 +5,7 @@
 use super::Builder;
 use crate::check::Spanned;
 use crate::diagnostic::Diagnostic;
-use crate::model::{Limit, Per};
+use crate::model::{Limit, LimitDimension};
 
 impl Builder<'_> {
     pub(super) fn build_limits(&mut self) {
@@ -33,14 +33,14 @@
 }
 
 /// Returns the attributes that a `per` entry names, sorted and without duplicates.
-fn per(values: &[Spanned]) -> Vec<Per> {
+fn per(values: &[Spanned]) -> Vec<LimitDimension> {
     let words = texts(values);
-    let mut per: Vec<Per> = words
+    let mut per: Vec<LimitDimension> = words
         .iter()
         .map(|word| match word.as_str() {
-            "group" => Per::Class,
-            "tenant" => Per::Tenant,
-            _ => Per::Client,
+            "group" => LimitDimension::Class,
+            "tenant" => LimitDimension::Tenant,
+            _ => LimitDimension::Client,
         })
         .collect();
     per.sort_unstable();
--- a/crates/plan/src/explain/words.rs
+++ b/crates/plan/src/explain/words.rs
@@ -1,7 +1,7 @@
 //! Formats blocks of a plan and their values in the syntax of the plan language.
 
 use crate::model::{
-    Bucket, ClassRules, DeduplicationScope, Idempotency, Limit, Per, Plan, Pool, Tenant,
+    Bucket, ClassRules, DeduplicationScope, Idempotency, Limit, LimitDimension, Plan, Pool, Tenant,
 };
 use std::time::Duration;
 
@@ -110,9 +110,9 @@
 
 pub(crate) fn describe_limit(limit: &Limit) -> String {
     let per = limit.per.iter().map(|per| match per {
-        Per::Class => "group".to_string(),
-        Per::Tenant => "tenant".to_string(),
-        Per::Client => "client".to_string(),
+        LimitDimension::Class => "group".to_string(),
+        LimitDimension::Tenant => "tenant".to_string(),
+        LimitDimension::Client => "client".to_string(),
     });
     joined([
         limit.max_in_flight.map(|count| format!("in-hand {count}")),
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -14,7 +14,7 @@
 use std::net::IpAddr;
 
 pub use classes::{ClassRules, DeduplicationScope, Idempotency, RETRY_FLOOR, RETRY_WINDOW_SECONDS};
-pub use limits::{Bucket, Limit, LimitScope, Per, Tenant};
+pub use limits::{Bucket, Limit, LimitDimension, LimitScope, Tenant};
 pub use routes::Route;
 pub use sets::{matches_pattern, AddressSet, Pool};
 pub use storage::{Bodies, Journal};
--- a/crates/plan/src/model/limits.rs
+++ b/crates/plan/src/model/limits.rs
@@ -39,7 +39,7 @@
 /// Attribute of queries by which a limit counts them separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
-pub enum Per {
+pub enum LimitDimension {
     /// One count for each query class.
     #[serde(rename = "group")]
     Class,
@@ -58,7 +58,7 @@
     #[serde(skip)]
     pub span: Span,
     /// Attributes by which queries are counted separately; empty for one count of all queries.
-    pub per: Vec<Per>,
+    pub per: Vec<LimitDimension>,
     /// Matches queries of these classes.
     #[serde(rename = "groups")]
     pub classes: Vec<String>,
@@ -103,7 +103,7 @@
 /// plans can be compared.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LimitScope {
-    per: Vec<Per>,
+    per: Vec<LimitDimension>,
     /// Names in alphabetical order, including repetitions.
     classes: Vec<String>,
     tenants: Vec<String>,
--- a/crates/plan/src/schema.rs
+++ b/crates/plan/src/schema.rs
@@ -127,7 +127,7 @@
 }
 
 /// Values of a `per` entry.
-pub const LIMIT_SCOPES: &[&str] = &["group", "tenant", "client"];
+pub const LIMIT_DIMENSIONS: &[&str] = &["group", "tenant", "client"];
 /// Values of an `order` entry.
 pub const ORDERS: &[&str] = &["key", "none"];
 /// Values of a `key` entry in a route.
@@ -220,7 +220,7 @@
         about: "A limit on what is admitted. A query over it is rejected at once, with a time to retry after.",
         namespace: None,
         entries: &[
-            entry("per", Shape::Words(LIMIT_SCOPES), "tenant, client", "one limit for each of these; without it one for all"),
+            entry("per", Shape::Words(LIMIT_DIMENSIONS), "tenant, client", "one limit for each of these; without it one for all"),
             entry("group", Shape::SettingsNames(Namespace::QueryClass), "report", "counts only queries of these classes"),
             entry("tenant", Shape::SettingsNames(Namespace::Tenant), "acme", "counts only queries of these tenants"),
             entry("client", Shape::BlockNames("addresses"), "houses", "counts only queries from these addresses"),
--- a/crates/routing/src/limits/rule.rs
+++ b/crates/routing/src/limits/rule.rs
@@ -5,7 +5,7 @@
 use super::sketch::Usage;
 use super::state::{LimitKey, LimitState, Slot};
 use crate::query::RoutedQuery;
-use garnetwall_plan::model::{Bucket, LimitScope, Per};
+use garnetwall_plan::model::{Bucket, LimitDimension, LimitScope};
 use std::time::Duration;
 
 /// Weight of the latest query in the exponentially weighted mean of the time in flight.
@@ -27,7 +27,7 @@
     /// The state is kept when the plan is replaced, if the name and the scope are unchanged.
     pub(super) scope: RuleScope,
     /// The properties of a query that form its key; queries with different keys are counted separately.
-    pub(super) per: Vec<Per>,
+    pub(super) per: Vec<LimitDimension>,
     /// Query classes that the rule applies to, by their index in the settings. Empty for all.
     pub(super) classes: Vec<usize>,
     /// Tenants that the rule applies to, by their index in the settings. Empty for all.
@@ -54,9 +54,9 @@
         let mut key = LimitKey::default();
         for per in &self.per {
             match per {
-                Per::Class => key.class = Some(query.class as u32),
-                Per::Tenant => key.tenant = Some(query.tenant as u32),
-                Per::Client => key.client = Some(query.client),
+                LimitDimension::Class => key.class = Some(query.class as u32),
+                LimitDimension::Tenant => key.tenant = Some(query.tenant as u32),
+                LimitDimension::Client => key.client = Some(query.client),
             }
         }
         key
