--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -6,7 +6,7 @@
 
 use crate::discovery::{EngineUpdate, ListChange};
 use garnetwall::api::{EndpointState, EngineSet, ListScope};
-use garnetwall_plan::model::{EngineFacts, Plan};
+use garnetwall_plan::model::{EngineAttributes, Plan};
 use garnetwall_routing::{
     LimitExceeded, LimitKind, LimitPermit, Limits, Names, PoolMembers, RouteDecision, RoutedQuery,
     Routing,
@@ -232,7 +232,7 @@
     /// Applies the endpoint list's entry for an engine, or its absence, to the pools of every plan.
     fn update_pools(&mut self, engine: usize) {
         let update = self.endpoints.get(engine).and_then(Option::as_ref);
-        let facts = update.map(|update| EngineFacts {
+        let attributes = update.map(|update| EngineAttributes {
             id: &update.name,
             zone: name_at(&self.zone_names, update.endpoint.zone as usize),
             kind: name_at(&self.kind_names, update.endpoint.kind),
@@ -241,7 +241,7 @@
         for routed in self.superseded.iter_mut().chain([&mut self.in_force]) {
             routed
                 .pool_members
-                .update(&routed.plan.routing, engine, facts.as_ref());
+                .update(&routed.plan.routing, engine, attributes.as_ref());
         }
     }
 
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -38,7 +38,7 @@
 
 /// The properties of an engine that pools select by.
 #[derive(Clone, Copy, Debug)]
-pub struct EngineFacts<'a> {
+pub struct EngineAttributes<'a> {
     /// Unique id of the engine, matched by the patterns of pools.
     pub id: &'a str,
     /// Name of the engine's zone.
@@ -76,7 +76,7 @@
 
 impl Plan {
     /// Returns for each pool, by index, whether it contains the engine.
-    pub fn pool_membership(&self, engine: &EngineFacts) -> Vec<bool> {
+    pub fn pool_membership(&self, engine: &EngineAttributes) -> Vec<bool> {
         let in_set = |set: usize| {
             let set = self.addresses.get(set);
             set.is_some_and(|set| set.contains(engine.address))
@@ -136,7 +136,7 @@
 
     /// Returns for each pool of the query's route, in order of preference, whether the query may run on the engine as a
     /// member of that pool. Without a route, or if the route names no pool, there is a single level with all engines.
-    pub fn priority_levels(&self, query: &QueryFacts, engine: &EngineFacts) -> Vec<bool> {
+    pub fn priority_levels(&self, query: &QueryFacts, engine: &EngineAttributes) -> Vec<bool> {
         let matching = self.pool_membership(engine);
         let route = self.route_of(query);
         let mut classes = vec![query.class];
--- a/crates/plan/tests/generate/mod.rs
+++ b/crates/plan/tests/generate/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)] // Each test binary uses only some of the functions.
 
-use garnetwall_plan::model::{EngineFacts, Plan, QueryFacts};
+use garnetwall_plan::model::{EngineAttributes, Plan, QueryFacts};
 use garnetwall_plan::source::InMemory;
 use garnetwall_plan::{compile, Compiled};
 use proptest::collection::vec;
@@ -259,13 +259,13 @@
 }
 
 /// Returns an engine for each combination of the sample values, including a zone and a kind that no plan names.
-pub fn engines() -> Vec<EngineFacts<'static>> {
+pub fn engines() -> Vec<EngineAttributes<'static>> {
     let mut all = Vec::new();
     for zone in ZONES.into_iter().chain(["other"]) {
         for kind in KINDS.into_iter().chain(["other"]) {
             for id in IDS {
                 for address in CLIENTS {
-                    all.push(EngineFacts {
+                    all.push(EngineAttributes {
                         id,
                         zone,
                         kind,
@@ -287,7 +287,7 @@
 }
 
 /// Returns the outcomes of a plan by route and class; the last row is that of queries that no route matches.
-pub fn outcomes(plan: &Plan, engines: &[EngineFacts]) -> Vec<Vec<Outcome>> {
+pub fn outcomes(plan: &Plan, engines: &[EngineAttributes]) -> Vec<Vec<Outcome>> {
     let memberships: Vec<Vec<bool>> = engines.iter().map(|e| plan.pool_membership(e)).collect();
     let all_classes: Vec<&str> = CLASSES.into_iter().chain(["other"]).collect();
     let eval = |route: Option<&garnetwall_plan::model::Route>, class: &str| {
--- a/crates/routing/benches/routing.rs
+++ b/crates/routing/benches/routing.rs
@@ -3,7 +3,7 @@
 
 use divan::{black_box, Bencher};
 use garnetwall_plan::compile;
-use garnetwall_plan::model::EngineFacts;
+use garnetwall_plan::model::EngineAttributes;
 use garnetwall_plan::source::InMemory;
 use garnetwall_routing::{Limits, Names, PoolMembers, RoutedQuery, Routing};
 use rand::rngs::StdRng;
@@ -184,8 +184,8 @@
         .collect()
 }
 
-fn facts((id, zone, kind): &(String, String, String)) -> EngineFacts<'_> {
-    EngineFacts {
+fn attributes((id, zone, kind): &(String, String, String)) -> EngineAttributes<'_> {
+    EngineAttributes {
         id,
         zone,
         kind,
@@ -201,7 +201,7 @@
     let mut engines = PoolMembers::new(&routing);
     all.iter()
         .enumerate()
-        .for_each(|(n, e)| engines.update(&routing, n, Some(&facts(e))));
+        .for_each(|(n, e)| engines.update(&routing, n, Some(&attributes(e))));
     let levels: Vec<_> = (0..routing.endpoint_subsets().len())
         .map(|endpoint_subset| engines.priority_levels(&routing, endpoint_subset))
         .collect();
@@ -231,7 +231,7 @@
             .filter(|e| {
                 routing
                     .plan()
-                    .priority_levels(&query, &facts(e))
+                    .priority_levels(&query, &attributes(e))
                     .contains(&true)
             })
             .count()
@@ -245,7 +245,7 @@
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 1) % all.len();
-        engines.update(&routing, at, Some(&facts(&all[at])));
+        engines.update(&routing, at, Some(&attributes(&all[at])));
     });
 }
 
--- a/crates/routing/src/pool_members.rs
+++ b/crates/routing/src/pool_members.rs
@@ -2,7 +2,7 @@
 
 use crate::engine_set::EngineSet;
 use crate::routing::Routing;
-use garnetwall_plan::model::EngineFacts;
+use garnetwall_plan::model::EngineAttributes;
 
 /// The engines of the endpoint list, grouped by the pools of one plan.
 #[derive(Clone, Debug, Default)]
@@ -20,10 +20,15 @@
         }
     }
 
-    /// Adds or updates an engine, or removes it if `facts` is `None`.
-    pub fn update(&mut self, routing: &Routing, engine: usize, facts: Option<&EngineFacts>) {
-        let member_of = facts.map(|facts| routing.plan().pool_membership(facts));
-        self.all.set(engine, facts.is_some());
+    /// Adds or updates an engine, or removes it if `attributes` is `None`.
+    pub fn update(
+        &mut self,
+        routing: &Routing,
+        engine: usize,
+        attributes: Option<&EngineAttributes>,
+    ) {
+        let member_of = attributes.map(|attributes| routing.plan().pool_membership(attributes));
+        self.all.set(engine, attributes.is_some());
         for (n, pool) in self.pools.iter_mut().enumerate() {
             pool.set(engine, member_of.as_ref().is_some_and(|pools| pools[n]));
         }
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -3,7 +3,7 @@
 #[path = "../../plan/tests/generate/mod.rs"]
 mod generate;
 
-use garnetwall_plan::model::EngineFacts;
+use garnetwall_plan::model::EngineAttributes;
 use garnetwall_routing::{Names, PoolMembers, RouteDecision, RoutedQuery, Routing};
 use generate::*;
 use proptest::collection::vec;
@@ -37,12 +37,12 @@
         let routing = Routing::new(plan.clone(), names());
         // Engines are added in random order, then some are removed.
         let all = engines();
-        let mut current: Vec<Option<EngineFacts>> = Vec::new();
+        let mut current: Vec<Option<EngineAttributes>> = Vec::new();
         let mut members = PoolMembers::new(&routing);
         for pick in listed {
-            let facts = all[pick.index(all.len())];
-            members.update(&routing, current.len(), Some(&facts));
-            current.push(Some(facts));
+            let attributes = all[pick.index(all.len())];
+            members.update(&routing, current.len(), Some(&attributes));
+            current.push(Some(attributes));
         }
         for pick in removed {
             let engine = pick.index(current.len());
