--- a/crates/routing/src/engine_set.rs
+++ b/crates/routing/src/engine_set.rs
@@ -5,9 +5,9 @@
 
 /// A set of engine indices.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EngineSet(Vec<u64>);
+pub struct EngineBitmap(Vec<u64>);
 
-impl EngineSet {
+impl EngineBitmap {
     /// Returns whether the engine is in the set.
     pub fn contains(&self, engine: usize) -> bool {
         self.0
@@ -50,7 +50,7 @@
         &self.0
     }
 
-    pub(crate) fn union_with(&mut self, other: &EngineSet) {
+    pub(crate) fn union_with(&mut self, other: &EngineBitmap) {
         self.0.resize(self.0.len().max(other.0.len()), 0);
         self.0
             .iter_mut()
@@ -58,7 +58,7 @@
             .for_each(|(word, other)| *word |= other);
     }
 
-    pub(crate) fn intersect_with(&mut self, other: &EngineSet) {
+    pub(crate) fn intersect_with(&mut self, other: &EngineBitmap) {
         self.0.truncate(other.0.len());
         self.0
             .iter_mut()
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod zones;
 
 pub use endpoint_subset::EndpointSubset;
-pub use engine_set::EngineSet;
+pub use engine_set::EngineBitmap;
 pub use limits::{LimitExceeded, LimitKind, LimitPermit, Limits};
 pub use pool_members::PoolMembers;
 pub use query::RoutedQuery;
--- a/crates/routing/src/pool_members.rs
+++ b/crates/routing/src/pool_members.rs
@@ -1,22 +1,22 @@
 //! Tracks which engines are in each pool of a plan, as engines are added, changed and removed.
 
-use crate::engine_set::EngineSet;
+use crate::engine_set::EngineBitmap;
 use crate::routing::Routing;
 use garnetwall_plan::model::EngineAttributes;
 
 /// The engines of the endpoint list, grouped by the pools of one plan.
 #[derive(Clone, Debug, Default)]
 pub struct PoolMembers {
-    all: EngineSet,
-    pools: Vec<EngineSet>,
+    all: EngineBitmap,
+    pools: Vec<EngineBitmap>,
 }
 
 impl PoolMembers {
     /// Creates the pools of a plan, without engines.
     pub fn new(routing: &Routing) -> Self {
         PoolMembers {
-            all: EngineSet::default(),
-            pools: vec![EngineSet::default(); routing.plan().pools.len()],
+            all: EngineBitmap::default(),
+            pools: vec![EngineBitmap::default(); routing.plan().pools.len()],
         }
     }
 
@@ -35,17 +35,17 @@
     }
 
     /// Returns the engines of a pool, given by its index in the plan. Panics if the plan has no such pool.
-    pub fn pool(&self, pool: usize) -> &EngineSet {
+    pub fn pool(&self, pool: usize) -> &EngineBitmap {
         &self.pools[pool]
     }
 
     /// Returns the engines that an endpoint subset allows at each priority level, highest priority first.
     /// `endpoint_subset` is an index into [`Routing::endpoint_subsets`].
-    pub fn priority_levels(&self, routing: &Routing, endpoint_subset: usize) -> Vec<EngineSet> {
+    pub fn priority_levels(&self, routing: &Routing, endpoint_subset: usize) -> Vec<EngineBitmap> {
         let subset = &routing.endpoint_subsets()[endpoint_subset];
         let mut allowed = self.all.clone();
         for pools in &subset.required_pools {
-            let mut within = EngineSet::default();
+            let mut within = EngineBitmap::default();
             pools
                 .iter()
                 .for_each(|pool| within.union_with(&self.pools[*pool]));
