--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -4,7 +4,9 @@
 //! The results are published in docs/results-scale.md.
 
 use divan::{black_box, Bencher};
-use garnetwall_gateway::discovery::{event_of_text, EngineList, Event, NameIndex, Selection};
+use garnetwall_gateway::discovery::{
+    decode_event_text, EngineList, Event, NameIndex, SubsetSelection,
+};
 use garnetwall_gateway::system::clock::Clock;
 use garnetwall_settings::Names;
 use garnetwall_subset::{RetryScope, SubsetSettings};
@@ -59,10 +61,10 @@
 }
 
 fn decode(text: &[u8]) -> Event {
-    event_of_text(text, &names()).expect("the event is valid")
+    decode_event_text(text, &names()).expect("the event is valid")
 }
 
-fn selection() -> Selection {
+fn selection() -> SubsetSelection {
     let settings = SubsetSettings {
         size: 80,
         class_floor: 4,
@@ -74,7 +76,7 @@
         classes: Vec::new(),
         retry_scope: RetryScope::Everywhere,
     };
-    Selection::new("g-17", settings, vec![Some(64.0); KINDS]).expect("the settings are valid")
+    SubsetSelection::new("g-17", settings, vec![Some(64.0); KINDS]).expect("the settings are valid")
 }
 
 fn list(subset: bool) -> EngineList {
@@ -88,13 +90,13 @@
 #[divan::bench]
 fn decode_whole_list(bencher: Bencher) {
     let (text, names) = (whole_text(), names());
-    bencher.bench_local(|| event_of_text(black_box(&text), &names));
+    bencher.bench_local(|| decode_event_text(black_box(&text), &names));
 }
 
 #[divan::bench]
 fn decode_changed_line(bencher: Bencher) {
     let (text, names) = (event_text(2, false, 3000..3001, 5), names());
-    bencher.bench_local(|| event_of_text(black_box(&text), &names));
+    bencher.bench_local(|| decode_event_text(black_box(&text), &names));
 }
 
 #[divan::bench(args = [false, true])]
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -195,7 +195,7 @@
         let scheduler = self.scheduler.clone();
         let longest_unpolled_run = self.engines.longest_unpolled_run();
         let on_recovered =
-            move |queries: Vec<_>| scheduler.recovered(&queries, longest_unpolled_run);
+            move |queries: Vec<_>| scheduler.complete_recovery(&queries, longest_unpolled_run);
         QueryJournal::open(
             &journal.directory,
             &self.config.name,
@@ -223,8 +223,8 @@
             body_store: store,
             platform: self.config.platform.clone(),
             phase: self.phase.subscribe(),
-            statement_bytes: self.budget.statement_bytes.clone(),
-            send_times: Mutex::new(SendTimeEstimator::new(
+            statement_memory: self.budget.statement_memory.clone(),
+            send_time_estimator: Mutex::new(SendTimeEstimator::new(
                 self.budget.query_capacity,
                 self.config.platform.network.connect_timeout,
                 self.longest_deadline_seconds,
@@ -262,7 +262,7 @@
         self.set_phase(Phase::Draining);
         let schedule = ShutdownSchedule::new(Instant::now(), self.longest_deadline_seconds);
         let answers_due = self.scheduler.clock().at(schedule.answers_due);
-        self.scheduler.cap_deadlines(answers_due);
+        self.scheduler.limit_deadlines(answers_due);
         // This always ends by the timeout, since `accepting` completes only after `stop_accepting` is set.
         let _ = timeout_at(schedule.accept_until.into(), accepting.as_mut()).await;
         // Connections that the system has queued by now are still accepted and served.
@@ -294,7 +294,7 @@
 
 /// Splits the configured limits on descriptors and memory into budgets.
 fn resource_budget(config: &Config) -> ResourceBudget {
-    ResourceBudget::of(ResourceLimits {
+    ResourceBudget::from_limits(ResourceLimits {
         descriptors: config.descriptors,
         memory_mb: config.memory_mb,
         max_result_bytes: result_rows::MAX_RESULT_BYTES,
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -4,8 +4,10 @@
 use super::reload::apply_reloads;
 use super::Gateway;
 use crate::configuration::{subset, Config};
-use crate::discovery::reconnect::Reconnect;
-use crate::discovery::{Discovery, HealthCheckOutcome, ListChange, NameIndex, Selection, Watch};
+use crate::discovery::reconnect::ReconnectBackoff;
+use crate::discovery::{
+    ChangeLogWatch, Discovery, HealthCheckOutcome, ListChange, NameIndex, SubsetSelection,
+};
 use crate::engines::Engines;
 use crate::scheduling::scheduler::Scheduler;
 use crate::system::clock::clamped_duration;
@@ -59,20 +61,20 @@
     fn watch_change_log(&self, discovery: Arc<Discovery>, change_log: watch::Receiver<SocketAddr>) {
         let names = NameIndex::new(&self.config.platform.names);
         let apply = Box::new(move |event| discovery.apply(event));
-        let watch = Watch::new(change_log, self.config.last_initial_event, names, apply);
+        let watch = ChangeLogWatch::new(change_log, self.config.last_initial_event, names, apply);
         let connect_timeout = clamped_duration(self.config.platform.network.connect_timeout);
-        tokio::spawn(watch.follow(Reconnect::new(connect_timeout, self.config.seed)));
+        tokio::spawn(watch.follow(ReconnectBackoff::new(connect_timeout, self.config.seed)));
     }
 }
 
 /// Creates the engine subset that the configuration asks for. `None` means that the gateway uses the whole engine list:
 /// no subset is configured, or its settings are rejected.
-pub(super) fn engine_selection(config: &Config, classes: &[QueryClass]) -> Option<Selection> {
+pub(super) fn engine_selection(config: &Config, classes: &[QueryClass]) -> Option<SubsetSelection> {
     let mut settings = config.subset.clone()?;
     // A plan may narrow the retry scope of a class; a greater scope is a narrower one.
     settings.retry_scope = settings.retry_scope.max(subset::retry_scope(classes));
     let kind_cores = config.platform.settings.kind_cores.clone();
-    match Selection::new(&config.name, settings, kind_cores) {
+    match SubsetSelection::new(&config.name, settings, kind_cores) {
         Ok(selection) => Some(selection),
         Err(error) => {
             tracing::error!(%error, "engine subset settings rejected, using the whole engine list");
--- a/crates/plan/tests/generate/mod.rs
+++ b/crates/plan/tests/generate/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)] // Each test binary uses only some of the functions.
 
-use garnetwall_plan::model::{EngineFacts, Plan, QueryFacts};
+use garnetwall_plan::model::{EngineAttributes, Plan, QueryFacts};
 use garnetwall_plan::source::InMemory;
 use garnetwall_plan::{compile, Compiled};
 use proptest::collection::vec;
@@ -259,13 +259,13 @@
 }
 
 /// Returns an engine for each combination of the sample values, including a zone and a kind that no plan names.
-pub fn engines() -> Vec<EngineFacts<'static>> {
+pub fn engines() -> Vec<EngineAttributes<'static>> {
     let mut all = Vec::new();
     for zone in ZONES.into_iter().chain(["other"]) {
         for kind in KINDS.into_iter().chain(["other"]) {
             for id in IDS {
                 for address in CLIENTS {
-                    all.push(EngineFacts {
+                    all.push(EngineAttributes {
                         id,
                         zone,
                         kind,
@@ -287,8 +287,8 @@
 }
 
 /// Returns the outcomes of a plan by route and class; the last row is that of queries that no route matches.
-pub fn outcomes(plan: &Plan, engines: &[EngineFacts]) -> Vec<Vec<Outcome>> {
-    let pools_of: Vec<Vec<bool>> = engines.iter().map(|e| plan.pools_of(e)).collect();
+pub fn outcomes(plan: &Plan, engines: &[EngineAttributes]) -> Vec<Vec<Outcome>> {
+    let memberships: Vec<Vec<bool>> = engines.iter().map(|e| plan.pool_membership(e)).collect();
     let all_classes: Vec<&str> = CLASSES.into_iter().chain(["other"]).collect();
     let eval = |route: Option<&garnetwall_plan::model::Route>, class: &str| {
         if let Some(reason) = route.and_then(|r| r.reject_reason.clone()) {
@@ -300,8 +300,8 @@
         let mut levels = Vec::new();
         for n in 0..to.len().max(1) {
             let is_usable = |e: &usize| {
-                to.get(n).is_none_or(|pool| pools_of[*e][*pool])
-                    && plan.allows(&[class, treated_as], &pools_of[*e])
+                to.get(n).is_none_or(|pool| memberships[*e][*pool])
+                    && plan.allows(&[class, treated_as], &memberships[*e])
             };
             let level: Vec<usize> = (0..engines.len())
                 .filter(|e| !used[*e])
