--- a/crates/ledger/src/attempts/open_attempt.rs
+++ b/crates/ledger/src/attempts/open_attempt.rs
@@ -38,7 +38,7 @@
     /// Usable connection to the process that has the attempt; `None` while there is none.
     identified_connection: Option<ConnectionId>,
     /// Whether further cancellations are useless without an identified connection: a connection was refused, or a
-    /// process that may not have the attempt answered a cancellation.
+    /// cancellation was answered by a process that has not shown that it has the attempt.
     cancellation_exhausted: bool,
     /// Time of the last failed cancellation.
     cancel_failed_at: Option<Duration>,
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -23,8 +23,8 @@
 use std::thread::JoinHandle;
 use writer::{Command, Writer};
 
-/// Handle to the journal of a running gateway. Dropping it waits until all records are written and the writing thread
-/// has ended.
+/// Handle to the journal of a running gateway. Dropping it waits until the writing thread has written all records and
+/// ended. If the storage has failed, the thread ends without writing them.
 pub struct Journal {
     commands: Sender<Command>,
     thread: Option<JoinHandle<()>>,
--- a/crates/ledger/src/journal/writer.rs
+++ b/crates/ledger/src/journal/writer.rs
@@ -25,7 +25,7 @@
 pub(super) enum Command {
     /// Write a record. The callback is `None` if no caller waits for the record.
     Write(Record, Option<WriteCallback>),
-    /// Write and sync all records sent before, then stop.
+    /// Write and sync all records sent before, unless the storage has failed, then stop.
     Stop,
 }
 
@@ -115,7 +115,8 @@
 
     fn add_to_group(&mut self, command: Command, group: &mut CommitGroup) {
         match command {
-            // The query is not sent without a confirmed record, so it needs no record.
+            // Rejects the record, so that the query is not sent. Other records are applied to the state, which the next
+            // successful restore writes.
             Command::Write(Record::Started(_), Some(callback)) if !self.can_append => {
                 callback(Err(JournalError::EarlierWriteFailed));
             }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -18,7 +18,7 @@
 //! ([`Evidence::Running`]) and the connection has not failed since. At most one connection of an attempt is identified.
 //! Once there is a proof, later evidence does not change it.
 //!
-//! | evidence | on the identified connection | on another connection, or without one |
+//! | evidence | on the identified connection, or while there is one | on another connection, or without one |
 //! |---|---|---|
 //! | [`RequestSent`](Evidence::RequestSent) | the attempt may run for [`ProtocolLimits::long_poll`] plus [`ProtocolLimits::poll_expiry`] from now on | the same |
 //! | [`Running`](Evidence::Running) | the attempt runs, and may run for [`ProtocolLimits::poll_expiry`] from now on | the same, and this connection is now the identified one |
@@ -27,7 +27,7 @@
 //! | [`ReportedFailed`](Evidence::ReportedFailed) | [`Proof::Ended`] | nothing: another process may have reported it, or the request may not have arrived yet |
 //! | [`Cancelled`](Evidence::Cancelled) | [`Proof::Cancelled`] | nothing: another process may have answered; no further cancellation is sent until a connection is identified |
 //! | [`ConnectionLost`](Evidence::ConnectionLost), [`ConnectionUnusable`](Evidence::ConnectionUnusable) | nothing; no connection is identified from now on | nothing |
-//! | [`ConnectionRefused`](Evidence::ConnectionRefused) | nothing | nothing; no cancellation is sent until a connection is identified |
+//! | [`ConnectionRefused`](Evidence::ConnectionRefused) | nothing; if the identified connection fails later, no cancellation is sent until one is identified again | nothing; no cancellation is sent until a connection is identified |
 //! | [`CancelFailed`](Evidence::CancelFailed) | nothing; the next cancellation is sent after [`ProtocolLimits::cancel_pause`] at the earliest | the same |
 //! | none until the latest time at which the attempt may run | [`Proof::Expired`]; [`Proof::NeverReached`] at any time if no request was sent | the same |
 //!
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -97,8 +97,8 @@
         bytes
     }
 
-    /// Decodes a record. Returns `None` if `bytes` has another length than [`RECORD_BYTES`], the checksum does not
-    /// match, or the kind is unknown.
+    /// Decodes a record. Returns `None` if `bytes` has another length than [`RECORD_BYTES`] or does not begin with `G`,
+    /// the checksum does not match, or the kind is unknown.
     pub fn decode(bytes: &[u8]) -> Option<Record> {
         let bytes: [u8; RECORD_BYTES] = bytes.try_into().ok()?;
         let stored_checksum = u32::from_le_bytes(bytes[CHECKSUM].try_into().ok()?);
