--- a/crates/bodies/src/capacity/limits.rs
+++ b/crates/bodies/src/capacity/limits.rs
@@ -37,7 +37,7 @@
 /// Outcome of the eviction of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionOutcome {
-    /// The whole body is in the spool file.
+    /// All pieces that the body had when its eviction started are in the spool file.
     Written,
     /// The body was not moved: a write failed, or the body was already removed.
     Failed,
--- a/crates/bodies/src/capacity/reservation.rs
+++ b/crates/bodies/src/capacity/reservation.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns the bytes reserved for the stored body, without the window.
+    /// Returns the bytes reserved for the stored part of a body of unknown length, without the window.
     pub(super) fn stored_bytes(&self) -> u64 {
         self.usage.memory_bytes - self.window_bytes() + self.usage.file_bytes
     }
--- a/crates/bodies/src/content.rs
+++ b/crates/bodies/src/content.rs
@@ -24,7 +24,7 @@
     pub(crate) readable_bytes: u64,
     /// Number of bytes that the current reader has read.
     pub(crate) read_bytes: u64,
-    /// Number of the last piece written to the spool file; 0 before the first.
+    /// Number of the last piece that was to be written to the spool file, even if the write failed; 0 before the first.
     pub(crate) last_piece_number: u32,
     pub(crate) state: ReceiveState,
     /// Whether the body can still be read from its start because no piece was discarded yet.
--- a/crates/bodies/src/piece.rs
+++ b/crates/bodies/src/piece.rs
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Returns the bytes that the piece takes of each budget. A slot counts as a whole piece.
+    /// Returns the bytes that the piece takes of each budget. A slot counts as [`PIECE_BYTES`], even if the piece is
+    /// shorter.
     pub(crate) fn usage(&self) -> Usage {
         let mut usage = Usage::default();
         match self {
--- a/crates/bodies/src/reader.rs
+++ b/crates/bodies/src/reader.rs
@@ -97,7 +97,8 @@
     ///
     /// # Errors
     ///
-    /// The body is truncated, discarded or damaged, so the bytes read so far are not the whole body.
+    /// The body is truncated, discarded or damaged, or the spool file cannot be read. The bytes read so far are then
+    /// not the whole body.
     pub async fn next(&mut self) -> Result<Option<Bytes>, ReadError> {
         let Some(Piece { offset, data }) = self.wait_for_piece().await? else {
             return Ok(None);
--- a/crates/bodies/src/spool.rs
+++ b/crates/bodies/src/spool.rs
@@ -96,7 +96,8 @@
 }
 
 impl Spool {
-    /// Creates a spool on an empty file, with as many slots as whole pieces fit into `bytes`.
+    /// Creates a spool on an empty file, with as many slots as whole pieces fit into `bytes`. The header of each slot
+    /// comes on top, so the file can grow 32 bytes per slot beyond that.
     pub fn new(file: impl RandomAccessFile + 'static, bytes: u64) -> Self {
         let capacity = u32::try_from(bytes / PIECE_BYTES).unwrap_or(u32::MAX);
         Spool {
