--- a/crates/routing/src/endpoint_subset.rs
+++ b/crates/routing/src/endpoint_subset.rs
@@ -6,8 +6,9 @@
     /// The pools that the matching route names, most preferred first. Empty if the route names none; every engine
     /// within `required_pools` is then allowed.
     pub pools: Vec<usize>,
-    /// One list for each query class that restricts its queries to certain pools. An engine is allowed only if it is in
-    /// at least one pool of every list.
+    /// The pools to which the query's own class restricts its queries, then those of the class whose rules apply, if
+    /// they differ. A class without such a restriction has no list. An engine is allowed only if it is in at least one
+    /// pool of every list.
     pub required_pools: Vec<Vec<usize>>,
 }
 
--- a/crates/routing/src/limits/sketch.rs
+++ b/crates/routing/src/limits/sketch.rs
@@ -21,7 +21,8 @@
 }
 
 impl Usage {
-    /// Returns whether forgetting this usage would not change any decision from `now` on.
+    /// Returns whether this usage can be forgotten at `now`: no query is in flight, and all theoretical arrival times
+    /// have passed, so that the usage does not affect any later decision.
     pub fn is_idle(&self, now: Duration) -> bool {
         self.in_flight == 0 && self.queries_arrival_time <= now && self.bytes_arrival_time <= now
     }
--- a/crates/routing/src/limits/tests.rs
+++ b/crates/routing/src/limits/tests.rs
@@ -167,7 +167,7 @@
     let mut limits = Limits::new(&routing, 10.0);
     let mut rejected = 0;
     for n in 0..1_000_000u32 {
-        // At ten million clients per second, no key is idle again before the next client arrives.
+        // At ten million clients per second the flood lasts 0.1 s, and no key is idle again before the flood ends.
         let now = Duration::from_nanos(u64::from(n) * 100);
         match limits.admit(&routing, now, &query(0, 0, n, 1)) {
             Ok(permit) => limits.release(now, permit),
@@ -179,7 +179,7 @@
         rejected > 0,
         "a flood that fills every cell must be limited"
     );
-    // One second later all keys are idle, so any key finds a free entry or cell.
+    // At 2 s, long after the flood, all keys are idle, so any key finds a free entry or cell.
     let now = Duration::from_secs(2);
     assert!(limits.admit(&routing, now, &query(0, 0, 77, 1)).is_ok());
 }
--- a/crates/routing/src/routing.rs
+++ b/crates/routing/src/routing.rs
@@ -31,9 +31,9 @@
         /// Index of the route in the plan; its `reject_reason` is set.
         route: usize,
     },
-    /// The statement is longer than the rules of the query class allow.
+    /// The statement is longer than the rules of the query's own class allow.
     StatementTooLong {
-        /// The maximum length of a statement of the query class, in bytes.
+        /// The maximum length of a statement of that class, in bytes.
         max_bytes: u64,
     },
     /// The query may run, unless a limit rejects it.
@@ -73,7 +73,8 @@
     matching_routes: [Vec<u64>; DIMENSION_COUNT],
     /// The distinct endpoint subsets that `results` refers to.
     endpoint_subsets: Vec<EndpointSubset>,
-    /// One entry for each route and query class, in this order, then one for each query class without a matching route.
+    /// For each route, one entry for each query class. The last group of entries, also one for each query class, is for
+    /// queries that match no route.
     results: Vec<RouteResult>,
 }
 
--- a/crates/routing/src/zones/shares.rs
+++ b/crates/routing/src/zones/shares.rs
@@ -5,6 +5,7 @@
 /// Fraction of a priority level's capacity up to which the level carries all load. Above it, a growing part of the load
 /// spills to the next level.
 pub(super) const SPILL_FROM_FRACTION: f64 = 0.7;
+
 /// The fractions of the offered load that go to each zone and priority level. The rest, up to 1, is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shares {
@@ -23,8 +24,8 @@
         (1.0 - self.zones.iter().sum::<f64>()).max(0.0)
     }
 
-    /// Picks the zone of one query in proportion to the shares, or `None` if the query is rejected. `draw` is a random
-    /// number from 0 to 1.
+    /// Picks the zone of one query in proportion to the shares, or returns `None` if the query is rejected. `draw` is a
+    /// random number from 0, included, to 1, excluded.
     pub fn pick(&self, draw: f64) -> Option<usize> {
         let mut left = draw;
         self.zones.iter().position(|share| {
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -170,9 +170,11 @@
     rejected_share: f64,
 }
 
-/// Three zones of 100 cores, the nearest with 65 cores of load, lost at 20 s, listed again at 40 s; its slow start
-/// takes `slow_start_seconds`, from 0.3 of its cores. Work is in units of 0.2 core seconds; a zone whose work in flight
-/// is three times what it can do for half a second fails for 2 s.
+/// Simulates 200 s of a load of 65 cores on three zones of 100 cores; other gateways use 40 cores in each zone but the
+/// nearest. The nearest zone is lost at 20 s and listed again at 40 s; with `flaps` it is also lost from 45 s to 50 s.
+/// Its slow start takes `slow_start_seconds` and begins at 0.3 of its cores. Work comes in units of 0.2 core seconds.
+/// The returning zone fails for 2 s if, for more than 0.5 s, its queued work exceeds three times a quarter second of
+/// its present capacity.
 fn simulate_outage(recovery: Recovery, slow_start_seconds: f64, flaps: bool) -> Outcome {
     let mut zones = Zones::new(&[0, 1, 2]);
     (0..3).for_each(|n| zones.update_capacity(0.0, n, 100.0, if n == 0 { 0.0 } else { 40.0 }));
--- a/crates/routing/src/zones/zone.rs
+++ b/crates/routing/src/zones/zone.rs
@@ -229,8 +229,9 @@
         self.round_started_at = now;
     }
 
-    /// Records work that a recovering zone completed at a normal latency. Enough of it ends the round; the fraction
-    /// then grows if the zone used most of its fraction of the capacity during the round.
+    /// Records work that a recovering zone completed at a normal latency. Once the zone has completed enough work and
+    /// its failure rate is low, the round ends. If the zone used most of its fraction of the capacity during the round,
+    /// the fraction grows; a zone whose fraction is already 1 becomes healthy.
     fn record_carried(&mut self, now: f64, work: f64, fraction: f64) {
         self.carried_work += work;
         if self.carried_work < MIN_CARRIED_SECONDS * fraction * self.capacity
