--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -20,7 +20,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error if a value cannot be decoded as the type of its key.
+/// Returns an error if a value cannot be decoded as the type of its key, if a query class allows a zone or kind by an
+/// unknown name, or if its `semantics` are missing or unknown.
 pub fn decode(flat: &FlatSettings) -> Result<PlatformSettings, SettingsError> {
     let names = decode_names(flat)?;
     let classes = (0..flat.item_count("categories")?)
--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -49,8 +49,8 @@
         Ok(flat)
     }
 
-    /// Inserts a value and all values nested in it. Values without a text form are ignored; only unknown keys hold such
-    /// values.
+    /// Inserts a value and all values nested in it. Null values are ignored, because they count as absent. Lists that
+    /// are items of a list are ignored too; only unknown keys hold them.
     fn insert(&mut self, path: &str, value: &Value) {
         match value {
             Value::Object(fields) => {
--- a/crates/settings/src/platform_settings.rs
+++ b/crates/settings/src/platform_settings.rs
@@ -15,7 +15,8 @@
     pub report_fields: Vec<String>,
 }
 
-/// The names of the settings, by the index that the decision module uses.
+/// The names that the settings give to query classes, tenants, zones and kinds of engine, by the index that the
+/// decision module uses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     /// Query class names, in the order of [`Settings::classes`].
--- a/crates/settings/src/validate.rs
+++ b/crates/settings/src/validate.rs
@@ -6,7 +6,7 @@
 
 impl PlatformSettings {
     /// Checks that a gateway can serve queries with these settings: there is at least one query class, each query class
-    /// has a name and a deadline, each tenant has a name, names are unique, and the zones and kinds that a class allows
+    /// has a unique name and a deadline, each tenant has a unique name, and the zones and kinds that a class allows
     /// exist.
     ///
     /// # Errors
