--- a/crates/subset/src/class_shortage.rs
+++ b/crates/subset/src/class_shortage.rs
@@ -9,8 +9,8 @@
 }
 
 impl<'a> ClassShortage<'a> {
-    /// `needed` returns the number of members that a class needs. The number is capped by the engines of the class in
-    /// the target.
+    /// Counts the members that each class lacks. `needed` returns the number of members that a class needs; a class
+    /// never needs more than its engines in the target.
     pub fn new(
         classes: &'a [PlacementClass],
         target: &[EngineFacts],
--- a/crates/subset/src/holders.rs
+++ b/crates/subset/src/holders.rs
@@ -54,7 +54,7 @@
     tables: Mutex<Vec<Arc<HoldersTable>>>,
 }
 
-/// Returns an empty cache: a cloned catalog computes its own tables.
+/// The clone of a cache is empty: a cloned catalog computes its own tables.
 impl Clone for HoldersCache {
     fn clone(&self) -> Self {
         HoldersCache::default()
--- a/crates/subset/src/join_queue.rs
+++ b/crates/subset/src/join_queue.rs
@@ -192,8 +192,8 @@
             .insert(engine, Connecting { deadline, reason });
     }
 
-    /// Starts a connection to a missing engine if the engine is urgent, a refill is left, or the pace allows it.
-    /// Returns whether the connection was started.
+    /// Starts a connection to a missing engine if the engine is urgent, a refill is left, or the pace allows it. Starts
+    /// none while [`MAX_CONNECTING`] connections are in progress. Returns whether the connection was started.
     pub fn try_connect(&mut self, now: f64, engine: EngineKey, is_urgent: bool) -> bool {
         if self.connecting.len() >= MAX_CONNECTING {
             return false;
--- a/crates/subset/src/score.rs
+++ b/crates/subset/src/score.rs
@@ -25,7 +25,8 @@
 /// cores would be the first that no gateway holds.
 const CORES_EXPONENT: f64 = 0.0;
 
-/// Number of bits of a hash that form a fraction. Half a step is added to it, and the sum must stay below 1.
+/// Number of bits of a hash that form a fraction. With 52 bits, an `f64` represents the fraction plus half a step
+/// exactly, so that the sum stays below 1.
 const FRACTION_BITS: u32 = 52;
 
 /// The finite score of an engine; engines with lower scores are chosen first.
--- a/crates/subset/src/size.rs
+++ b/crates/subset/src/size.rs
@@ -3,7 +3,7 @@
 use crate::settings::SubsetSettings;
 
 /// Minimum average number of gateways that hold an engine. With 24, the probability that no gateway holds an engine is
-/// about `exp(-24)`, and the engines of one gateway together carry 24 times a gateway's mean traffic.
+/// about `exp(-24)`, and the engines of one gateway together carry as much traffic as 24 gateways send on average.
 pub const MIN_HOLDERS: f64 = 24.0;
 
 /// Floor of the subset as a fraction of its size. Below the floor, engines join immediately without a connection test.
--- a/crates/subset/src/subset/action.rs
+++ b/crates/subset/src/subset/action.rs
@@ -15,7 +15,7 @@
         /// Estimated number of gateways that hold the engine and share its capacity, including this one; 1 or more.
         holders: f64,
     },
-    /// Update the facts and the number of holders of a member.
+    /// Update the number of holders of a member, and take its facts from the catalog again.
     Update {
         /// The member.
         engine: EngineKey,
--- a/crates/subset/src/subset/membership.rs
+++ b/crates/subset/src/subset/membership.rs
@@ -44,7 +44,8 @@
         was_member
     }
 
-    /// Adds an [`Action::Update`] for each member whose facts or number of holders have changed.
+    /// Adds an [`Action::Update`] for each member whose facts have changed, or whose number of holders has changed by
+    /// more than [`HOLDERS_UPDATE_FRACTION`].
     pub(super) fn refresh_holders(&mut self, catalog: &Catalog) {
         let table = catalog.holders(&self.parameters);
         let is_same_table = self
