--- a/crates/ledger/src/journal/writer.rs
+++ b/crates/ledger/src/journal/writer.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Maximum number of commands that are carried out with one sync.
-const MAX_RECORDS_PER_SYNC: usize = 4096;
+const MAX_COMMANDS_PER_SYNC: usize = 4096;
 /// Time between two attempts to restore a journal whose storage fails.
 const RESTORE_INTERVAL: Duration = Duration::from_millis(250);
 
@@ -97,7 +97,7 @@
         let mut group = CommitGroup::default();
         for command in std::iter::once(first)
             .chain(waiting)
-            .take(MAX_RECORDS_PER_SYNC)
+            .take(MAX_COMMANDS_PER_SYNC)
         {
             self.add_to_group(command, &mut group);
         }
