--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -219,7 +219,7 @@
     SettingsError::new(
         place_of(path),
         SettingsErrorCause::Unknown(word.into()),
-        "set a name of the settings' list, or its index from 0",
+        "set a zone or kind listed in the settings, by its name or its index from 0",
     )
 }
 
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -47,7 +47,8 @@
             Schema::Flag => wrong_type(place, "true or false", value, "set true or false"),
             Schema::Index if value.is_string() || value.is_u64() => Ok(()),
             Schema::Index => {
-                let remedy = "set a name of the list, or its index from 0";
+                let remedy =
+                    "set a zone or kind listed in the settings, by its name or its index from 0";
                 wrong_type(place, "a name or an index", value, remedy)
             }
             Schema::Number(range) => range.check(place, value),
--- a/crates/settings/tests/keys.rs
+++ b/crates/settings/tests/keys.rs
@@ -138,7 +138,7 @@
 const FLAG: &str = "true or false expected, not \"perhaps\"; set true or false";
 const TEXT: &str = "a text expected, not 7; write it in quotes";
 const INDEX: &str =
-    "a name or an index expected, not true; set a name of the list, or its index from 0";
+    "a name or an index expected, not true; set a zone or kind listed in the settings, by its name or its index from 0";
 const DAY: &str =
     "a number expected, not true; give a number of more than 0 and at most 86400000 milliseconds";
 const TIME: &str =
