--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -2,8 +2,8 @@
 
 use garnetwall::api::LoadReport;
 
-/// Decodes the named values of a load report. Returns `None` if `values` is empty, and a report without any value if
-/// all names are unknown. Values that are negative or not finite count as absent.
+/// Decodes the named values of a load report, or returns `None` if `values` is empty. Unknown names are ignored, and
+/// values that are negative or not finite count as absent, so that the report may hold no value.
 ///
 /// | name | field |
 /// |---|---|
