--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -49,8 +49,8 @@
         Ok(flat)
     }
 
-    /// Inserts a value and all values nested in it. Values without a text form are ignored; only unknown keys hold such
-    /// values.
+    /// Inserts a value and all values nested in it. Null values are ignored, because they count as absent. Lists that
+    /// are items of a list are ignored too; only unknown keys hold them.
     fn insert(&mut self, path: &str, value: &Value) {
         match value {
             Value::Object(fields) => {
@@ -219,7 +219,7 @@
     SettingsError::new(
         place_of(path),
         SettingsErrorCause::Unknown(word.into()),
-        "set a name of the settings' list, or its index from 0",
+        "set a zone or kind listed in the settings, by its name or its index from 0",
     )
 }
 
