--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -71,7 +71,8 @@
 /// no subset is configured, or its settings are rejected.
 pub(super) fn engine_selection(config: &Config, classes: &[QueryClass]) -> Option<SubsetSelection> {
     let mut settings = config.subset.clone()?;
-    // A plan may narrow the retry scope of a class; a greater scope is a narrower one.
+    // A plan may narrow the retry scope of a class. `RetryScope` is ordered from wide to narrow, so the maximum is the
+    // narrower scope.
     settings.retry_scope = settings.retry_scope.max(subset::retry_scope(classes));
     let kind_cores = config.platform.settings.kind_cores.clone();
     match SubsetSelection::new(&config.name, settings, kind_cores) {
--- a/crates/gateway/src/gateway/reload.rs
+++ b/crates/gateway/src/gateway/reload.rs
@@ -1,6 +1,7 @@
 //! Applies a reloaded configuration to a running gateway.
 //!
-//! The address of the change log and the plan take effect at once. Other changes are logged as needing a restart.
+//! A changed address of the change log takes effect at once, and so does a plan if the gateway was started with one.
+//! Other changes are logged as needing a restart, except those of keys that are used only at a start.
 
 use crate::configuration::Config;
 use crate::scheduling::plan_routing;
--- a/crates/gateway/src/gateway/shutdown.rs
+++ b/crates/gateway/src/gateway/shutdown.rs
@@ -5,14 +5,14 @@
 
 /// Protocol: clients may open new connections for this long after SIGTERM.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// Protocol: SIGKILL follows SIGTERM no sooner than after `ACCEPT_PERIOD` plus the longest deadline, which counts for at
-/// most this many seconds.
+/// Protocol: SIGKILL follows SIGTERM no sooner than after `ACCEPT_PERIOD` plus the longest deadline, of which at most
+/// this many seconds count.
 const MAX_COUNTED_DEADLINE_SECONDS: f64 = 3.0;
 /// Time from the latest deadline of any query to the earliest SIGKILL.
 const ANSWERS_DUE_BEFORE_KILL: Duration = Duration::from_millis(200);
 /// Minimum time from the close of idle client connections to the earliest SIGKILL. Idle connections close at the end of
 /// `ACCEPT_PERIOD`, or earlier to keep this time, which happens only if the longest deadline is shorter than 150 ms. A
-/// client resends a request that crosses the close to another gateway.
+/// client whose request was still on its way when the connection closed resends it to another gateway.
 const LATEST_IDLE_CLOSE_BEFORE_KILL: Duration = Duration::from_millis(150);
 /// Time from the exit of the process to the earliest SIGKILL.
 const EXIT_BEFORE_KILL: Duration = Duration::from_millis(100);
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -46,8 +46,9 @@
 
 pub use accept::accept;
 
-/// Limit on the time to read each of: the head of a connection's first request, the rest of the head of its last
-/// request, a body that is read whole, and each chunk of a streamed body before its query is admitted.
+/// Maximum time to read the head of a connection's first request, the rest of a head that has arrived in part when the
+/// gateway closes the connection, a body that is read whole, or one chunk of a streamed body before its query is
+/// admitted.
 ///
 /// The protocol requires that the connection of a client that cannot be served is closed within 3 s.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(2);
@@ -64,8 +65,8 @@
     pub phase: watch::Receiver<Phase>,
     /// Records non-idempotent queries before they are sent.
     pub journal: Arc<QueryJournal>,
-    /// Stores bodies longer than the longest statement that is read whole. `None` if bodies are not stored; such bodies
-    /// are then rejected.
+    /// Stores bodies that are longer than the longest statement that is read whole, or of unknown length. `None` if the
+    /// plan configures no body store; such bodies are then rejected.
     pub body_store: Option<Arc<Store>>,
     /// Estimates when clients sent their queries.
     pub send_time_estimator: Mutex<SendTimeEstimator>,
@@ -89,7 +90,8 @@
         send_time_estimator.estimate(ordering_key, arrived_at, open_queries)
     }
 
-    /// Reserves `bytes` of the memory budget for statements until the permit is dropped.
+    /// Reserves `bytes` of the memory budget for statements until the permit is dropped. Fails at once if fewer bytes
+    /// are free.
     fn reserve_statement_bytes(&self, bytes: u32) -> Result<OwnedSemaphorePermit, SubmissionError> {
         self.statement_memory
             .clone()
--- a/crates/gateway/src/http/accept.rs
+++ b/crates/gateway/src/http/accept.rs
@@ -73,7 +73,8 @@
             yield_now().await;
             return tokio::select! {
                 biased;
-                // A listener whose cooperative budget is used up reports no connection even if one waits.
+                // `unconstrained` is needed because a task that has used up its cooperative budget is told that no
+                // connection waits, even if one does.
                 accepted = unconstrained(listener.accept()) => Some(accepted),
                 () = std::future::ready(()) => None,
             };
@@ -86,12 +87,12 @@
     }
 }
 
-/// Polls a task once before it is spawned.
+/// Polls a task once, and spawns it if it has not completed.
 ///
 /// Queries of one ordering key must be admitted in the order in which they arrived, even if they arrived while this
 /// process had no processor time. The tasks of older connections may already be in the run queue, and a task that is
-/// only spawned would run after them. The first poll here reads the request on the new connection before their later
-/// requests.
+/// only spawned would run after them. The poll here reads the request on the new connection before requests that
+/// arrived later on older connections.
 async fn spawn_polled(task: impl Future<Output = ()> + Send + 'static) {
     let mut task = Box::pin(task);
     let first_poll = poll_fn(|cx| Poll::Ready(task.as_mut().poll(cx))).await;
--- a/crates/gateway/src/http/admission.rs
+++ b/crates/gateway/src/http/admission.rs
@@ -37,7 +37,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the client has closed its connection, the query key cannot be used again, or the plan denies the query.
+/// Fails if the client has closed its connection, the query key belongs to a different query or to an ended one whose
+/// answer is not cached, an earlier gateway process may have sent the query, or the plan denies it.
 pub(super) fn admit(
     state: &ServerState,
     query: SubmittedQuery,
--- a/crates/gateway/src/http/client_stream.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -22,7 +22,7 @@
 /// Interval between checks for a close by the client while the read-ahead buffer is full. The protocol requires that a
 /// closed connection is detected within 100 ms.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// Most bytes that are discarded when a connection closes; more than the kernel buffers for one connection.
+/// Number of bytes after which a closing connection stops discarding; more than the kernel buffers for one connection.
 const MAX_DISCARDED_BYTES: usize = 8 << 20;
 
 /// End of the client's side of a connection.
@@ -92,8 +92,8 @@
         self.state().last_read_at
     }
 
-    /// Reads the bytes that the kernel holds, as far as the read-ahead buffer has space. It does not wait until the
-    /// runtime reports the socket readable: for a connection just accepted, that report comes one turn of the event
+    /// Reads the bytes that the kernel holds, as far as the read-ahead buffer has space. Reads even if the runtime has
+    /// not reported the socket readable yet: for a connection just accepted, that report comes one turn of the event
     /// loop later, when later bytes on other connections may already have been read.
     pub fn read_available(&self) {
         self.state().read_available();
@@ -139,8 +139,8 @@
         self.state().io.inner().shut_down_write();
     }
 
-    /// Reads and discards all bytes that have arrived. The kernel resets a connection that is closed while bytes are
-    /// unread, and the client would lose a response that it has not read yet.
+    /// Reads and discards the bytes that have arrived, up to about 8 MiB. The kernel resets a connection that is closed
+    /// while bytes are unread, and the client would lose a response that it has not read yet.
     pub fn discard_received(&self) {
         let mut state = self.state();
         let mut remaining = MAX_DISCARDED_BYTES;
--- a/crates/gateway/src/http/connection/request_loop.rs
+++ b/crates/gateway/src/http/connection/request_loop.rs
@@ -20,7 +20,8 @@
 /// Time after which the gateway closes an idle connection. By the protocol, clients close idle connections after 4 s;
 /// this is far above, so that no request is sent while the gateway closes.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Extra time for a first request head of which unparsed bytes had arrived when [`REQUEST_READ_TIMEOUT`] expired.
+/// Extra time for the first request head if bytes have arrived that the parser has not taken when
+/// [`REQUEST_READ_TIMEOUT`] expires.
 const UNPARSED_HEAD_GRACE: Duration = Duration::from_millis(20);
 /// Size of the HTTP parser's buffer in bytes; larger than any valid request head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
@@ -200,9 +201,9 @@
         Step::CloseAfterResponse(CloseReason::Evicted)
     }
 
-    /// Closes the connection, unless bytes have arrived that the parser has not taken. For these, grants
-    /// [`UNPARSED_HEAD_GRACE`] once, since they may have arrived while this process had no processor time to parse
-    /// them.
+    /// Closes the connection, unless its first request head was read in the meantime, or bytes have arrived that the
+    /// parser has not taken. For such bytes, grants [`UNPARSED_HEAD_GRACE`] once, since they may have arrived while
+    /// this process had no processor time to parse them.
     fn first_request_timed_out(&mut self) -> Step {
         let has_no_request = self.server.connection.awaits_first_request();
         if has_no_request && (self.grace_granted || !self.server.stream.has_unparsed_bytes()) {
--- a/crates/gateway/src/http/send_time.rs
+++ b/crates/gateway/src/http/send_time.rs
@@ -23,8 +23,8 @@
 const SPARE_CONNECTIONS: usize = 16;
 /// Least time, by the protocol, between the first query of a key on a new connection and the next query of that key.
 const NEW_CONNECTION_GAP_SECONDS: f64 = 0.25;
-/// Least time, by the protocol, between other queries of a key. A queued query that expires at the client takes the
-/// same time and never arrives.
+/// Least time, by the protocol, between any other two consecutive queries of a key. A queued query that expires at the
+/// client never arrives, but delays the next query by the same time.
 const QUEUE_GAP_SECONDS: f64 = 0.06;
 /// Queries of a key that arrive less than this apart belong to one burst, and may have queued at the client.
 const BURST_GAP_SECONDS: f64 = 0.5;
@@ -141,8 +141,8 @@
     connection_capacity: usize,
     /// Longest time that a client waits for a connection, in seconds.
     connect_timeout: f64,
-    /// Twice the longest deadline, in seconds: one deadline for the age that the last query of a queue may have when it
-    /// arrives, and one in which all queries queued behind it expire. After that, none of them can still arrive.
+    /// Twice the longest deadline, in seconds: one deadline for the age that a query may have when it arrives, and one
+    /// within which all queries that queued behind it at the client expire. After that, none of them can still arrive.
     max_queue_age: f64,
 }
 
@@ -160,7 +160,7 @@
     }
 
     /// Returns the earliest time in seconds at which the client may have sent a query that arrived at `arrival` while
-    /// `open_queries` others used connections. Records the arrival for later estimates of the same key.
+    /// `open_queries` other queries were open. Records the arrival for later estimates of the same key.
     pub fn estimate(&mut self, key: Option<u64>, arrival: f64, open_queries: usize) -> f64 {
         let connection_delay = self.connection_delay(open_queries);
         let Some(key) = key else {
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -1,4 +1,4 @@
-//! Handler stage: submits queries whose bodies are too long, or of unknown length, to be read whole before admission.
+//! Handler stage: submits queries whose bodies are streamed, since they are long or of unknown length.
 //!
 //! The query runs while its body arrives. The body store keeps the bytes that have arrived, so that a retry can send
 //! them again.
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -21,8 +21,8 @@
 use std::sync::Arc;
 use tokio::time::timeout;
 
-/// Longest statement that is read whole, in bytes. A longer one is streamed through the body store, or rejected if
-/// there is no body store.
+/// Longest statement that is read whole, in bytes. A statement that is longer or of unknown length is streamed through
+/// the body store, or rejected if there is no body store.
 const MAX_STATEMENT_BYTES: u64 = 1 << 18;
 
 /// Handles a request that submits a query. The response carries the final answer or the reason why the query is not
--- a/crates/gateway/src/http/submission_error.rs
+++ b/crates/gateway/src/http/submission_error.rs
@@ -32,7 +32,7 @@
     /// query.
     #[error("too many statements in hand")]
     StatementMemoryFull,
-    /// The query class requires that its bodies are stored, and the body store has no space.
+    /// Before the query was admitted, the body store refused its body or a part of it, usually for lack of space.
     #[error("no room for the body")]
     BodyStoreFull,
     /// The connection ended before the body was complete.
--- a/crates/gateway/src/storage/body_store.rs
+++ b/crates/gateway/src/storage/body_store.rs
@@ -43,7 +43,7 @@
 }
 
 /// Logs counts for each query class and kind of storage: bodies received, retries that read their body again, and
-/// retries that found it missing.
+/// attempts that could not read their body because its start had been discarded.
 pub fn log_body_store(store: &Store, class_names: &[String]) {
     for ((class, storage), counts) in store.counts() {
         tracing::info!(
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -2,7 +2,7 @@
 //! does not send them again.
 //!
 //! The crate `garnetwall_ledger` reads, writes and interprets the records. This module converts their times between the
-//! gateway's clock and the clock of the boot, which both processes share.
+//! gateway's clock and the machine's clock since boot, which all processes share until the machine is rebooted.
 
 use crate::system::boot_clock::BootClock;
 use crate::system::clock::{Clock, MILLIS_PER_SECOND};
@@ -57,7 +57,7 @@
     async fn write_record(&self, record: StartedQuery) -> Result<(), JournalError> {
         let (done, written) = oneshot::channel();
         let on_written = move |result| {
-            // The send fails if the caller has stopped waiting. It does not send the query then.
+            // The channel is closed if the caller has stopped waiting; such a caller does not send the query.
             let _ = done.send(result);
         };
         self.journal
--- a/crates/gateway/src/system/budgeted_stream.rs
+++ b/crates/gateway/src/system/budgeted_stream.rs
@@ -1,7 +1,7 @@
-//! Provides a TCP stream that holds a permit of the connection budget while it is open.
+//! Provides the TCP stream of connections to engines and to the change log.
 //!
-//! Connections to engines and to the change log use it. Writes go through the [`SendGate`] of the current attempt and
-//! fail if the peer stops reading.
+//! A stream to an engine holds a permit of the connection budget while it is open. Writes of a request that starts an
+//! attempt go through the [`SendGate`] of the attempt. Any write fails if the peer stops reading.
 
 use crate::system::send_gate::{SendGate, WriteDecision};
 use crate::system::socket::Socket;
@@ -36,7 +36,7 @@
     }
 }
 
-/// A TCP stream to an engine or to the change log, with its permit of the connection budget.
+/// A TCP stream to an engine or to the change log, with its permit of the connection budget if it needs one.
 #[derive(Debug)]
 pub struct BudgetedStream {
     io: TokioIo<Socket>,
@@ -71,8 +71,8 @@
         self
     }
 
-    /// Checks before a write that the connection is not aborted and that the gate allows the write. The gate stops its
-    /// request if it does not.
+    /// Checks before a write that the connection is not aborted and that the gate allows the write. A gate that does
+    /// not allow the write stops its request.
     ///
     /// # Errors
     ///
--- a/crates/gateway/src/system/stall_detector.rs
+++ b/crates/gateway/src/system/stall_detector.rs
@@ -52,8 +52,8 @@
         self.last_run = self.last_run.max(now);
     }
 
-    /// The earliest time at which data that was read at `read_at` can have arrived. Stalls of up to 0.12 s are not
-    /// detected.
+    /// The earliest time at which data that was read at `read_at` can have arrived. Also records that the process runs
+    /// at `now`. Stalls of up to 0.12 s are not detected.
     pub fn arrival_time(&mut self, now: f64, read_at: f64) -> f64 {
         self.record_run(now);
         match self.last_stall {
