--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -286,7 +286,7 @@
 
     fn finish_shutdown(&self, store: Option<&Store>) {
         if let Some(store) = store {
-            body_store::log_body_store(store, &self.config.platform.names.classes);
+            body_store::log_body_counts(store, &self.config.platform.names.classes);
         }
         self.set_phase(Phase::Stopped);
     }
--- a/crates/gateway/src/http/connection/request_loop.rs
+++ b/crates/gateway/src/http/connection/request_loop.rs
@@ -205,8 +205,9 @@
     /// parser has not taken. For such bytes, grants [`UNPARSED_HEAD_GRACE`] once, since they may have arrived while
     /// this process had no processor time to parse them.
     fn first_request_timed_out(&mut self) -> Step {
-        let has_no_request = self.server.connection.awaits_first_request();
-        if has_no_request && (self.grace_granted || !self.server.stream.has_unparsed_bytes()) {
+        let awaits_first_request = self.server.connection.awaits_first_request();
+        if awaits_first_request && (self.grace_granted || !self.server.stream.has_unparsed_bytes())
+        {
             tracing::debug!(client = %self.client(), "client connection closed: the first request head did not arrive in time");
             return Step::Close(CloseReason::Silent);
         }
--- a/crates/gateway/src/storage/body_store.rs
+++ b/crates/gateway/src/storage/body_store.rs
@@ -44,7 +44,7 @@
 
 /// Logs counts for each query class and kind of storage: bodies received, retries that read their body again, and
 /// attempts that could not read their body because its start had been discarded.
-pub fn log_body_store(store: &Store, class_names: &[String]) {
+pub fn log_body_counts(store: &Store, class_names: &[String]) {
     for ((class, storage), counts) in store.counts() {
         tracing::info!(
             class = class_names.get(class).map_or("", String::as_str),
--- a/crates/gateway/src/system/budgeted_stream.rs
+++ b/crates/gateway/src/system/budgeted_stream.rs
@@ -123,7 +123,7 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         let result = Pin::new(&mut self.io).poll_flush(cx);
         if let (Poll::Ready(Ok(())), Some(gate)) = (&result, &self.send_gate) {
-            gate.flushed();
+            gate.record_flush();
         }
         result
     }
--- a/crates/gateway/src/system/send_gate.rs
+++ b/crates/gateway/src/system/send_gate.rs
@@ -10,7 +10,7 @@
 //! |---|---|---|
 //! | `NotStarted` | [`record_sending_started`](SendGate::record_sending_started) | `Sending` |
 //! | `Sending` | [`record_body_consumed`](SendGate::record_body_consumed) | `Buffered` |
-//! | `Buffered` | `flushed` | `Sent` |
+//! | `Buffered` | `record_flush` | `Sent` |
 //! | `NotStarted`, `Sending`, `Buffered` | [`record_later_call`](SendGate::record_later_call) | `Sent` |
 //! | `NotStarted`, `Sending`, `Buffered` | `allow_write_or_stop`, if the write is not allowed | `Stopped` |
 //! | `NotStarted`, `Sending`, `Buffered` | [`stop_unless_complete`](SendGate::stop_unless_complete) | `Stopped` |
@@ -131,7 +131,7 @@
     }
 
     /// Records that all bytes handed to the connection were written to the socket.
-    pub(super) fn flushed(&self) {
+    pub(super) fn record_flush(&self) {
         self.state.advance(SendState::Buffered, SendState::Sent);
     }
 
--- a/crates/gateway/src/system/send_gate/tests.rs
+++ b/crates/gateway/src/system/send_gate/tests.rs
@@ -53,7 +53,7 @@
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Stopped);
     test.is_wanted.store(true, Ordering::Relaxed);
     test.gate.record_body_consumed();
-    test.gate.flushed();
+    test.gate.record_flush();
     test.gate.record_later_call();
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Stopped);
 }
@@ -62,7 +62,7 @@
 fn flush_before_the_last_byte_does_not_count_as_sent() {
     let test = TestGate::new();
     test.gate.record_sending_started();
-    test.gate.flushed();
+    test.gate.record_flush();
     assert_eq!(test.gate.stop_unless_complete(), StopOutcome::Stopped);
 }
 
@@ -71,7 +71,7 @@
     let test = TestGate::new();
     test.gate.record_sending_started();
     test.gate.record_body_consumed();
-    test.gate.flushed();
+    test.gate.record_flush();
     test.is_wanted.store(false, Ordering::Relaxed);
     assert_eq!(test.gate.stop_unless_complete(), StopOutcome::AlreadySent);
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
