--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,9 +1,9 @@
 //! Service discovery: maintains the engine list from the events of the change log.
 //!
-//! [`ChangeLogWatch`] follows the change log and decodes each event once and in order. [`Discovery`] applies the events
-//! to the [`EngineList`], which assigns the decision module's indices to engines. With an engine subset,
-//! [`SubsetSelection`] chooses its members, and only those are in the list. This module depends neither on the
-//! scheduler nor on the connections to engines; it delivers plain values.
+//! [`ChangeLogWatch`] follows the change log and passes on each decoded event once and in order. [`Discovery`] applies
+//! the events to the [`EngineList`], which assigns the decision module's indices to engines. If an engine subset is
+//! configured, [`SubsetSelection`] chooses its members, and only those are in the list. This module depends neither on
+//! the scheduler nor on the connections to engines; it delivers plain values.
 
 mod connection;
 mod connection_set;
--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -4,8 +4,10 @@
 //! received, and gets back actions. Times are durations since a fixed moment that the driver chooses.
 //!
 //! A connection is never closed only because it is slow. A log may deliver its first bytes, or the end of a long event,
-//! slightly later than any fixed timeout on every connection, and closing it there would mean that the event never
-//! arrives. Instead, backup connections are opened beside a slow one, and the first that delivers the next event stays.
+//! slightly later than any fixed timeout on every connection. If each connection were closed at that timeout, the event
+//! would never arrive. Instead, backup connections are opened beside a slow one, and the first that delivers the next
+//! event stays.
+//!
 //! Each connection is classified by these criteria, and may meet several of them. A field is one line of the stream,
 //! which may also be a comment or blank. Progress means a complete field, or [`PROGRESS_BYTES`] of an unfinished one.
 //!
@@ -30,19 +32,19 @@
 /// Protocol: a change counts as notified once this time has passed since the log received it. A connection is given at
 /// least this long to deliver its next byte.
 pub(super) const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(7);
-/// The time without progress after which a connection is overdue: two of the comments that the log sends each second
-/// are missing then.
+/// The time without progress after which a connection is overdue. The log sends a comment each second, so two are
+/// missing by then.
 pub(super) const PROGRESS_TIMEOUT: Duration = Duration::from_millis(2200);
-/// The time without progress after which a backup connection that is not proven yet is overdue: one comment is missing
-/// then.
+/// The time without progress after which a backup connection that is not proven yet is overdue. One of the log's
+/// comments is missing by then.
 pub(super) const BACKUP_PROGRESS_TIMEOUT: Duration = Duration::from_millis(1400);
 /// The number of bytes of an unfinished field that count as progress, as a complete field does.
 pub(super) const PROGRESS_BYTES: usize = 16 << 10;
 /// The time without a complete field after which the only open connection is overdue. It is shorter than
 /// [`NOTIFICATION_DEADLINE`], so that a backup connection may still deliver the event in time.
 pub(super) const LONE_FIELD_TIMEOUT: Duration = Duration::from_millis(6000);
-/// The time without a complete field after which a connection that also makes no other progress is closed, and after
-/// which a connection that is not the only one is overdue.
+/// The time without a complete field after which a connection is overdue if others are open, and is closed if it also
+/// makes no other progress.
 pub(super) const MAX_FIELD_DURATION: Duration = Duration::from_secs(20);
 
 /// Identifies a connection. Values are never reused.
@@ -322,9 +324,10 @@
         }
     }
 
-    /// The earliest time at which an open connection may be replaced: when any becomes replaceable by its age, or when
-    /// the newest has made no progress for [`PROGRESS_TIMEOUT`]. Older connections are kept for at least
-    /// [`NOTIFICATION_DEADLINE`], so that a log that is slow on every connection can still deliver.
+    /// The earliest time at which an open connection may be replaced: the first
+    /// [`replaceable_at`](TrackedConnection::replaceable_at) of any connection, or the time at which the newest has made
+    /// no progress for [`PROGRESS_TIMEOUT`]. Older connections are kept for at least [`NOTIFICATION_DEADLINE`], so that
+    /// a log that is slow on every connection can still deliver.
     fn replacement_at(&self) -> Duration {
         let replaceable = self
             .open
@@ -342,7 +345,8 @@
             .unwrap_or_default()
     }
 
-    /// The index of the connection to replace: the oldest that is replaceable by its age, otherwise the newest.
+    /// The index of the connection to replace: the oldest that is past its
+    /// [`replaceable_at`](TrackedConnection::replaceable_at), otherwise the newest.
     fn index_to_replace(&self, now: Duration) -> Option<usize> {
         let replaceable = self
             .open
--- a/crates/gateway/src/discovery/connection_set/tests.rs
+++ b/crates/gateway/src/discovery/connection_set/tests.rs
@@ -268,8 +268,9 @@
 }
 
 proptest! {
-    /// For any behaviour of the connections, the number of open ones is bounded, none is closed early, and no step is
-    /// polled without end. An event that one of the first two connections sends within 7 s is delivered.
+    /// For any behaviour of the connections, the number of open ones is bounded, none is closed early, and the number
+    /// of actions in each step is bounded. An event that one of the first two connections sends within 7 s is
+    /// delivered.
     #[test]
     fn any_log_is_followed_within_the_bounds_on_connections(
         seed: u64,
@@ -347,7 +348,8 @@
         prop_assert!(observed.bytes <= 2 * LONG_LIST + comments, "{} bytes, {:?}", observed.bytes, observed.opened);
     }
 
-    /// Connections that end at once are reopened no faster than the reconnect pause, which is 500 ms at most.
+    /// If each connection ends within 200 ms, successive connections are opened at least the reconnect pause apart, or
+    /// 500 ms if the pause is longer.
     #[test]
     fn connections_that_end_are_reopened_after_the_backoff(seed: u64, pause in prop::sample::select(RECONNECT_PAUSES_MS.to_vec()), after in 0..200u64) {
         let observed = simulate(&mut set(seed, pause), |_| Behaviour::Ends { after }, 10_000);
--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -25,7 +25,7 @@
 
 /// The outcome of a health check or of connecting to a candidate.
 pub struct HealthCheckOutcome {
-    /// How the health check, or connecting to the candidate, ended, in the terms of an attempt.
+    /// The end of the health check or of connecting to the candidate, classified like the end of an attempt.
     pub end: AttemptEnd,
     /// The engine's load report, if it sent one.
     pub report: Option<LoadReport>,
@@ -69,8 +69,9 @@
 
     /// Maintains the subset until the future is dropped; it never completes.
     ///
-    /// `connect` opens a connection to a candidate. `joined` is called with the outcome for each engine that becomes a
-    /// member when its candidate connection ends. At most 8 connections are opened at a time.
+    /// `connect` opens a connection to a candidate. If the candidate is reached and becomes a member as soon as
+    /// `connect` ends, `joined` is called with the engine and the outcome; it is not called for engines that join
+    /// later. At most 8 connections are opened at a time.
     pub async fn maintain_subset<W, F>(
         &self,
         connect: W,
@@ -110,7 +111,7 @@
     }
 
     /// Records the outcome of connecting to a candidate, polls the subset, and calls `joined` if the candidate was
-    /// reached and is now a member.
+    /// reached and the poll returned an update of it.
     fn candidate_connect_ended(
         &self,
         candidate: Candidate,
@@ -132,8 +133,8 @@
     }
 }
 
-/// Derives the reachability of an engine from how connecting to it ended. Any answer, even an error, means that it was
-/// reached.
+/// Derives the reachability of an engine from the end of connecting to it. Any answer, even an error, means that it was
+/// reached. Any other end counts as unreachable, even if no connection was attempted.
 fn reachability(end: AttemptEnd) -> Reachability {
     match end {
         AttemptEnd::Succeeded | AttemptEnd::Failed | AttemptEnd::Rejected => {
--- a/crates/gateway/src/discovery/engine_health.rs
+++ b/crates/gateway/src/discovery/engine_health.rs
@@ -1,9 +1,9 @@
 //! The condition of an engine as observed by attempts, health checks and connection attempts.
 
-/// Whether a connection to an engine could be established.
+/// Whether an engine could be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// The engine accepted a connection.
+    /// The engine accepted a connection, and answered if a request was sent on it.
     Reachable,
     /// The engine accepted no connection, or did not answer.
     Unreachable,
--- a/crates/gateway/src/discovery/event.rs
+++ b/crates/gateway/src/discovery/event.rs
@@ -28,14 +28,14 @@
     pub name: String,
     /// The address at which the engine listens.
     pub address: SocketAddr,
-    /// The index of the engine's zone in the settings; 0 if the log has none.
+    /// The index of the engine's zone in the settings; 0 if the event names no zone.
     pub zone: u32,
-    /// The index of the engine's kind in the settings; 0 if the log has none.
+    /// The index of the engine's kind in the settings; 0 if the event names no kind.
     pub kind: usize,
-    /// The number of the engine's cell; 0 if the log has none.
+    /// The number of the engine's cell; 0 if the event has none.
     pub cell: u32,
     /// When the engine started, in Unix seconds of the change log's clock, which may differ from the clock of this
-    /// machine. `None` if the log does not know.
+    /// machine. `None` if the event has no start time, or has 0.
     pub started_at_unix: Option<f64>,
     /// Whether the engine accepts attempts, is draining or was removed.
     pub state: EndpointState,
--- a/crates/gateway/src/discovery/event/decode.rs
+++ b/crates/gateway/src/discovery/event/decode.rs
@@ -8,7 +8,8 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// Decodes an event from parsed JSON, as in the configuration. `names` resolves the names of zones and kinds.
+/// Decodes an event from parsed JSON, as the block `known` of the configuration has it. `names` resolves the names of
+/// zones and kinds.
 ///
 /// # Errors
 ///
--- a/crates/gateway/src/discovery/lenient.rs
+++ b/crates/gateway/src/discovery/lenient.rs
@@ -119,7 +119,7 @@
 /// A value that is filled from a JSON object key by key, or from a JSON list item by item, by [`ReadInto`]. The default
 /// implementations skip the contents.
 pub(super) trait LenientTarget<'de>: Sized {
-    /// Reads the value of a key from `map`, which must be consumed even if it is ignored.
+    /// Reads the value of `_key` from `map`. An implementation must consume the value even if it ignores the key.
     fn read_value<A: MapAccess<'de>>(&mut self, _key: &str, map: &mut A) -> Result<(), A::Error> {
         map.next_value::<IgnoredAny>()?;
         Ok(())
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -1,7 +1,7 @@
-//! The engine list of this gateway: the engines it may use, by the decision module's indices.
+//! Maintains the engine list of this gateway: the engines that it may use, by the decision module's indices.
 //!
 //! Without an engine subset the list holds all engines of the change log, otherwise the members of the subset.
-//! Scheduling and the engine connections read it while [`super::driver`] applies updates to it.
+//! Scheduling and the engine connections read the list while [`super::driver`] applies updates to it.
 
 mod engine_table;
 mod subset_log;
@@ -27,7 +27,8 @@
     pub address: SocketAddr,
 }
 
-/// The new state of an engine: the endpoint for the decision module, and the name and address, which only plans need.
+/// The new state of an engine: the endpoint for the decision module, and the name and address, by which plans select
+/// engines.
 #[derive(Clone, Debug)]
 pub struct EngineUpdate {
     /// The engine as passed to the decision module.
@@ -43,7 +44,7 @@
 pub struct ListChange {
     /// The new, changed and removed engines. Engines that a full list leaves out have no update.
     pub updates: Vec<EngineUpdate>,
-    /// Whether `updates` is the full list, so that all other engines are removed.
+    /// Whether `updates` is the full list, so that all other engines are removed. Always a delta with an engine subset.
     pub scope: ListScope,
 }
 
--- a/crates/gateway/src/discovery/list/subset_log.rs
+++ b/crates/gateway/src/discovery/list/subset_log.rs
@@ -4,7 +4,7 @@
 use garnetwall_subset::SizeReason;
 
 /// Logs the status of the engine subset after each event of the change log and when its members change. Warns when the
-/// subset size begins to exceed the configured size, and when more placement classes than before have no engine.
+/// subset size begins to exceed the configured size, and when more placement classes than before have no ready engine.
 #[derive(Debug, Default)]
 pub(super) struct SubsetLog {
     /// The status logged last.
--- a/crates/gateway/src/discovery/reconnect.rs
+++ b/crates/gateway/src/discovery/reconnect.rs
@@ -33,7 +33,7 @@
         self.pause.saturating_sub(since_last_start) + jitter
     }
 
-    /// Returns the jitter of a connection that is opened beside slow ones: up to a quarter of the pause.
+    /// Returns the random delay of a backup connection, which is opened beside slow ones: up to a quarter of the pause.
     pub fn backup_jitter(&mut self) -> Duration {
         (self.pause / 4).mul_f64(self.random_fraction())
     }
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -1,7 +1,7 @@
 //! The engine subset: the engines that this gateway uses, chosen from the full list by `garnetwall_subset`.
 //!
 //! Complete entries are kept for the members only. For all other engines, the catalog's facts, the address and the
-//! start time are kept, from which an entry can be assembled. Times named `now` are seconds of the gateway's clock.
+//! start time are kept, from which an entry can be assembled. Times named `now` are seconds of the process clock.
 
 use super::engine_health::{EngineHealth, Reachability};
 use super::event::EngineEntry;
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Returns a member again if its details changed, which the choice of members does not report. `None` for engines
-    /// that are not members.
+    /// Returns a member again if its details changed, since no action of the subset reports such a change. `None` for
+    /// engines that are not members.
     fn select_again(&mut self, engine: EngineKey) -> Option<SelectedEngine> {
         let holders = self.members.get(&engine)?.holders;
         self.select(engine, holders)
@@ -243,7 +243,7 @@
         selected
     }
 
-    /// The time of the next [`poll`](Self::poll) unless something changes first, in seconds of the gateway's clock.
+    /// The time of the next [`poll`](Self::poll) unless something changes first, in seconds of the process clock.
     pub(super) fn next_poll_at(&self) -> Option<f64> {
         self.subset.wake()
     }
@@ -280,7 +280,8 @@
         self.subset.connect_ended(now, engine, outcome);
     }
 
-    /// Records the health that the end of an attempt shows for the engine of this name. Unknown names are ignored.
+    /// Records the health of the engine of this name, as inferred from the end of an attempt. Engines that are unknown
+    /// or not members are ignored.
     pub(super) fn attempt_ended(&mut self, now: f64, name: &str, health: EngineHealth) {
         if let Some(engine) = self.catalog.key(name) {
             let outcome = match health {
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -57,8 +57,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(37), ..ProptestConfig::default() })]
 
-    /// The engines that are ready for the decision module are ready in the list with the same entry, so none that
-    /// drains or was removed remains after an event. At least one is ready if any is ready in the list.
+    /// Each engine that the decision module holds as ready has the same entry in the list, so no draining or removed
+    /// engine stays ready after an event. If any engine in the list is ready, the decision module holds at least one.
     #[test]
     fn members_are_ready_and_equal_their_list_entries(
         events in proptest::collection::vec(
@@ -82,10 +82,10 @@
             module.update(selection.apply(now, entries, scope));
             for step in 0..5 {
                 for entry in module.ready() {
-                    prop_assert_eq!(Some(entry), list.get(&entry.name), "at {} of {}", step, now);
+                    prop_assert_eq!(Some(entry), list.get(&entry.name), "in step {} at {} s", step, now);
                 }
                 let ready = list.values().filter(|entry| entry.state == EndpointState::Ready).count();
-                prop_assert!(module.ready().count() >= ready.min(1), "at {} of {}", step, now);
+                prop_assert!(module.ready().count() >= ready.min(1), "in step {} at {} s", step, now);
                 prop_assert_eq!(module.ready().count(), selection.status().members);
                 while let Some(candidate) = selection.next_candidate(now) {
                     selection.connect_ended(now, candidate.engine, reachability);
--- a/crates/gateway/src/discovery/sequence.rs
+++ b/crates/gateway/src/discovery/sequence.rs
@@ -57,13 +57,14 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if events before it are missing, or if it is malformed, unless the same event was malformed
-    /// before and is the next one.
+    /// Returns an error if events before this one are missing, or if it is malformed. If the next event is malformed
+    /// twice in a row, it is skipped instead the second time.
     pub(super) fn accept(&mut self, sse_event: &SseEvent) -> Result<EventOutcome, SequenceError> {
         let expected = self.last.saturating_add(1);
         let event = decode_event_text(&sse_event.data, &self.names);
         let number = match &event {
             Ok(event) => event.number,
+            // A malformed event without a number counts as the next one.
             Err(_) => sse_event.number.unwrap_or(expected),
         };
         if number < expected {
--- a/crates/gateway/src/discovery/start_times.rs
+++ b/crates/gateway/src/discovery/start_times.rs
@@ -9,8 +9,8 @@
 //! the log's clock. An engine that started recently, and is still cold, thus never counts as warm.
 //!
 //! If a reported start, read as a time of this process, is later than the converted one, the later time applies, but at
-//! most the time of the last report. Otherwise one start that the log reports too late would make all other engines
-//! look older than the log reports them.
+//! most the time of the last report. Otherwise a single engine whose reported start is too late would make all other
+//! engines look older than the log reports them.
 
 /// Converts start times from the change log's clock to the clock of this process.
 #[derive(Clone, Copy, Debug)]
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! Watches the change log and passes each numbered event on once and in order.
+//! Watches the change log and passes on each numbered event once and in order.
 //!
 //! [`ConnectionSet`] decides which connections to open and close, and [`EventSequence`] whether an event is applied.
 //! This module performs the I/O for both. Errors of connections are logged and lead to further connections; the watch
@@ -47,7 +47,7 @@
     Ended(Result<(), WatchError>),
 }
 
-/// A step of the connection with this identifier.
+/// A step, and the connection that took it.
 struct ConnectionStep {
     id: ConnectionId,
     step: LogStep,
@@ -117,7 +117,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the sender of the address was dropped before.
+/// Returns an error if the sender of the address is dropped first.
 async fn address_change(
     log: &mut watch::Receiver<SocketAddr>,
     current: SocketAddr,
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Follows the log until the future is dropped; it never completes. Only the first of successive errors is logged
-    /// as a warning, until a connection is established again.
+    /// Follows the log until the future is dropped; it never completes. An error of a connection is logged as a warning
+    /// only if no other connection is streaming, and only once until the log answers a connection again.
     pub async fn follow(mut self, reconnect: ReconnectBackoff) {
         let mut addresses = self.log.clone();
         let mut set = ConnectionSet::new(reconnect);
