--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -39,8 +39,8 @@
 /// Maximum of both limits: more descriptors, and more megabytes, than any machine has.
 const MAX_LIMIT: u64 = 1 << 30;
 
-/// The plan may give bodies at most one in this many bytes of memory. Statements have an eighth of it and results a
-/// quarter.
+/// The plan may give bodies at most one in this many bytes of `limits.memory_mb`. Statements have an eighth of the
+/// memory and results a quarter.
 const BODIES_MEMORY_DIVISOR: u64 = 4;
 const BYTES_PER_MB: u64 = 1 << 20;
 
@@ -63,7 +63,8 @@
     pub memory_mb: usize,
     /// The address of the change log.
     pub change_log: SocketAddr,
-    /// The number of the last change log event that the block `known` contains; 0 without the block.
+    /// The number `known.seq` of the last change log event that the block `known` covers; 0 without the block. The
+    /// watch of the change log continues after it.
     pub last_initial_event: u64,
     /// The change log events of the block `known`, in ascending order of their numbers.
     pub initial_events: Vec<Event>,
--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -148,7 +148,7 @@
     Ok(arguments.opt_value_from_str(name)?)
 }
 
-/// Returns the next argument that is not an option. `expected` describes the argument in the error.
+/// Returns the next argument, which must not be an option. `expected` describes the argument in the error.
 fn file_argument(
     arguments: &mut Arguments,
     expected: &'static str,
--- a/crates/gateway/src/configuration/subset.rs
+++ b/crates/gateway/src/configuration/subset.rs
@@ -10,9 +10,9 @@
 use serde_json::Value;
 
 const BLOCK: &str = "subset";
-/// Maximum of each number of engines: more engines than any list has.
+/// Maximum of `subset.size`, `subset.class_floor` and `subset.reserve`: more engines than any list has.
 const MAX_ENGINES: u64 = 1 << 20;
-/// Maximum of `subset.joins_per_second`: more than can be of use.
+/// Maximum of `subset.joins_per_second`: more than any gateway can make use of.
 const MAX_JOINS_PER_SECOND: f64 = 1e6;
 
 /// The name of a pool that selects engines by id, address or exception, which an engine subset does not support.
