--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -325,9 +325,9 @@
     }
 
     /// The earliest time at which an open connection may be replaced: the first
-    /// [`replaceable_at`](TrackedConnection::replaceable_at) of any connection, or the time at which the newest has made
-    /// no progress for [`PROGRESS_TIMEOUT`]. Older connections are kept for at least [`NOTIFICATION_DEADLINE`], so that
-    /// a log that is slow on every connection can still deliver.
+    /// [`replaceable_at`](TrackedConnection::replaceable_at) of any connection, or the time at which the newest has
+    /// made no progress for [`PROGRESS_TIMEOUT`]. Older connections are kept for at least [`NOTIFICATION_DEADLINE`], so
+    /// that a log that is slow on every connection can still deliver.
     fn replacement_at(&self) -> Duration {
         let replaceable = self
             .open
