--- a/crates/gateway/src/configuration/error.rs
+++ b/crates/gateway/src/configuration/error.rs
@@ -67,8 +67,8 @@
     },
     /// A pool of the plan selects engines by id, address or exception, which an engine subset does not support.
     #[error(
-        "plan {file}: pool {pool}: selects engines by id, address or exception, which the subset may not contain; \
-         name zones and kinds instead, or remove subset from the configuration"
+        "plan {file}: pool {pool}: selects engines by id, address or exception, which an engine subset does not \
+         support; name zones and kinds instead, or remove subset from the configuration"
     )]
     SubsetPool {
         /// The path of the plan file as it was given.
--- a/crates/gateway/src/configuration/initial_list.rs
+++ b/crates/gateway/src/configuration/initial_list.rs
@@ -46,7 +46,7 @@
     number.ok_or_else(|| {
         wrong_type(
             "known.seq",
-            "the number of a change",
+            "the number of an event",
             json.get("seq"),
             "write the seq of the last event in known.results",
         )
--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -429,7 +429,7 @@
         ("seed", json!("8c1f30d27a5be964f"), "not a seed"),
         ("name", json!(null), "a text expected, not null"),
         ("known", json!("all"), "an object expected"),
-        ("known.seq", json!(-1), "the number of a change expected"),
+        ("known.seq", json!(-1), "the number of an event expected"),
         ("known.results", json!({}), "a list expected"),
         (
             "known.results.0.seq",
