--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -88,8 +88,8 @@
         }
     }
 
-    /// The longest time for which an attempt can run without being polled, counted from the moment at which an earlier
-    /// process may last have polled it.
+    /// The longest time for which an attempt can run after its last poll was sent. At start-up this bounds the time for
+    /// which the attempts of an earlier process may still run.
     pub fn longest_unpolled_run(&self) -> Duration {
         MAX_UNPOLLED_RUN
     }
@@ -132,9 +132,9 @@
         result
     }
 
-    /// The time for which an attempt is assumed to run while only progress events keep it running. The protocol sets no
-    /// limit on that. A query that must not overlap the next one of its ordering key therefore uses the longest
-    /// deadline.
+    /// The time after its last poll for which progress events alone are assumed to keep an attempt running. The
+    /// protocol sets no limit on that. The longest deadline is used for a query that must not overlap the next one of
+    /// its ordering key. For any other query the time is zero, so that only the poll expiry counts.
     fn assumed_run_time(&self, query: &ForwardedQuery) -> Duration {
         if query.in_order {
             self.longest_deadline
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -3,7 +3,7 @@
 //! | state | code | next state |
 //! |---|---|---|
 //! | connecting | `exchange::ready_connection` | request being sent; ended as `ConnectFailed` or `NotSent` if no connection is established |
-//! | request being sent | `exchange::send_streamed`, `start`, the [`SendGate`] | running; ended as `NotNeeded` or `ConnectFailed` if the gate stops it, or as `Failed` if its body can't be read |
+//! | request being sent | `exchange::send_streamed`, `start`, the [`SendGate`] | running; cancelling if it is interrupted; ended as `NotNeeded` or `ConnectFailed` if the gate stops it, as `Failed` if the body store has lost a part of its body, or as `ConnectFailed` if it is not sent completely for another reason |
 //! | running, polled | `polling::poll_until_end` | fetching pages; ended as the engine reports, or as `Cancelled` if its query was answered before its result arrived; cancelling if cancellation is requested or polls can't determine the outcome |
 //! | fetching pages | `pages::fetch_pages` | ended as `Succeeded`, as `Failed` if the engine has lost a page, or as `ConnectionLost` if a page can't be fetched for another reason |
 //! | cancelling | `cancel::cancel` | ended once the ledger has a proof that the attempt does not run: as `Cancelled`, `NotNeeded`, `ConnectFailed`, or as `ConnectionLost` after an unknown outcome |
@@ -52,7 +52,8 @@
 use tokio::sync::watch;
 
 /// A session with an engine, which makes the calls of one attempt or of one health check. It uses one connection at a
-/// time, which no other session shares. The connection is replaced if it is lost or has carried an unreadable response.
+/// time, which no other session shares. A new connection is opened if the last one was closed, its last call failed or
+/// was interrupted, or its last response was invalid.
 pub(super) struct EngineSession<'a> {
     engines: &'a Engines,
     target: EngineTarget,
--- a/crates/gateway/src/engines/attempt/cancellable_call.rs
+++ b/crates/gateway/src/engines/attempt/cancellable_call.rs
@@ -127,7 +127,8 @@
     if start_request == StopOutcome::Stopped {
         return GracePeriod::None;
     }
-    // The part of the request that has not arrived yet would reach the engine after the query's answer.
+    // The system may still hold unsent data of the request, which would reach the engine after the query's answer.
+    // Aborting the connection discards that data.
     if kind == CallKind::Start && cancellation == CancellationState::QueryFinished {
         return GracePeriod::None;
     }
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -51,8 +51,9 @@
 }
 
 impl EngineSession<'_> {
-    /// Sends the request and polls the attempt. A request that got no response may still have arrived, so its outcome
-    /// is polled for. An engine repeats the response of an attempt that succeeded.
+    /// Sends the request and polls the attempt. A request that got no response may still have arrived, so the attempt
+    /// is polled in this case, too. If the response that reported a success was lost, the engine repeats it at the next
+    /// poll.
     pub(super) async fn poll_until_end(
         &mut self,
         query: &ForwardedQuery,
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -73,8 +73,8 @@
         EngineCall::start(request, Some(streamed_body))
     }
 
-    /// Sets the header that tells the engine the milliseconds until the response deadline. Called right before the
-    /// request is sent, because connecting takes time.
+    /// Sets the header that tells the engine the milliseconds until the response deadline, at least 1. Called right
+    /// before the request is sent, because connecting takes time.
     pub(super) fn set_remaining_time(&self, request: &mut Request<RequestBody>) {
         let remaining = self
             .response_deadline
@@ -87,7 +87,7 @@
     }
 
     /// Records that the last byte of a poll, or of the request that starts the attempt, is about to be sent. From then
-    /// on the request may arrive.
+    /// on the engine may receive the whole request.
     pub(super) fn record_request_sending(&mut self) {
         self.request_may_have_arrived = true;
         self.record(Evidence::RequestSent);
--- a/crates/gateway/src/engines/connect.rs
+++ b/crates/gateway/src/engines/connect.rs
@@ -25,13 +25,13 @@
     /// # Errors
     ///
     /// [`CallError::ConnectionRefused`] if the engine's machine refused the connection, [`CallError::LocalResources`]
-    /// if the time ran out on this machine, otherwise [`CallError::ConnectFailed`].
+    /// if the timeout passed while waiting for a resource of this machine, otherwise [`CallError::ConnectFailed`].
     pub(super) async fn connect(
         &self,
         address: SocketAddr,
         send_gate: Option<Arc<SendGate>>,
     ) -> Result<EngineConnection, CallError> {
-        // The wait for a permit of the budget is not the engine's fault.
+        // The first wait is for a permit of the budget. If the timeout passes then, the engine is not at fault.
         let wait = ConnectWait::local();
         let connecting = self.open_connection(address, send_gate, &wait);
         match timeout(self.connect_timeout, connecting).await {
--- a/crates/gateway/src/engines/messages.rs
+++ b/crates/gateway/src/engines/messages.rs
@@ -92,7 +92,8 @@
     UnlessSent,
     /// The attempt is cancelled unless its response arrives first.
     Requested,
-    /// The attempt is cancelled because its query has been answered.
+    /// The attempt is cancelled because its query needs no response any more: the query has been answered, its answer
+    /// is due, or its client has left.
     QueryFinished,
 }
 
--- a/crates/gateway/src/engines/protocol.rs
+++ b/crates/gateway/src/engines/protocol.rs
@@ -8,7 +8,7 @@
 /// An engine ends an attempt that has not been polled for this time.
 pub(super) const POLL_EXPIRY: Duration = Duration::from_secs(2);
 
-/// Tolerance added to each time limit of the protocol that is enforced on a socket.
+/// Tolerance added to the long-poll limit when a response is awaited on a socket.
 pub(super) const SOCKET_TIMEOUT_SLACK: Duration = Duration::from_millis(50);
 
 /// Pause between two cancellations of the same attempt.
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -37,7 +37,8 @@
     pub endpoint_subset: Option<u32>,
     /// Index of the class that the query is treated as; a route may change the requested class.
     pub class: usize,
-    /// The plan's own time limit for the query, counted from its admission.
+    /// The plan's own time limit for the query, counted from its admission: the shorter of those of the requested class
+    /// and of `class`. `None` if the plan sets neither.
     pub deadline: Option<Duration>,
 }
 
@@ -151,7 +152,8 @@
     capacity: f64,
     limits: Limits,
     in_force: RoutedPlan,
-    /// Earlier plans that open queries were admitted under, oldest first.
+    /// Earlier plans, oldest first. A plan is removed at the first update of the plan or the endpoint list after the
+    /// last query that was admitted under it is released.
     superseded: Vec<RoutedPlan>,
     /// The number of the next plan's first endpoint subset.
     next_subset: u32,
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -17,8 +17,8 @@
 enum ResponseDeadline {
     /// The deadline has not passed.
     Pending,
-    /// The deadline has passed and the exchange is being cancelled. The exchange is polled once more before the outcome
-    /// counts as unknown.
+    /// The deadline has passed and the exchange is being cancelled. The future of the exchange is polled once more
+    /// before the outcome counts as unknown, because an attempt that has not started ends right then.
     Passed,
     /// The deadline has passed, and the scheduler has been told that the outcome is unknown.
     Reported,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Cancels the attempt, which may still run at the engine, because the query's answer is due.
+    /// Cancels the attempt, which may still run at the engine, because nobody waits for its response any more.
     fn deadline_passed(&mut self) {
         self.deadline = ResponseDeadline::Passed;
         self.cancellation
@@ -136,7 +136,7 @@
         match command {
             Command::ClientLeft => self.client_left(),
             Command::CancelAttempt { attempt } if attempt == self.attempt.number => self.cancel(),
-            // A query has at most one attempt in flight, and the scheduler sends no answer while it is.
+            // A query has at most one attempt in flight, and the scheduler sends no answer until it has ended.
             Command::CancelAttempt { .. } | Command::BeginAttempt { .. } | Command::Answer(_) => {}
         }
     }
@@ -177,8 +177,8 @@
     }
 }
 
-/// Waits until the query's answer is due: when its response deadline passes or, during a shutdown, when all answers are
-/// due.
+/// Waits until the attempt's response deadline passes or, during a shutdown, until all answers are due, whichever is
+/// earlier.
 async fn until_answer_due(scheduler: Arc<Scheduler>, deadline: Instant) {
     tokio::select! {
         () = sleep_until(deadline.into()) => {}
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -46,7 +46,8 @@
 }
 
 impl Scheduler {
-    /// Admits an arriving query as a new one, or returns the state of the query with the same key.
+    /// Opens an arriving query if its key is unknown and the plan admits it, joins the open query of the same request,
+    /// or returns the reason why the query is not run.
     pub fn admit(
         self: &Arc<Self>,
         arriving: ArrivingQuery,
@@ -76,7 +77,8 @@
         })
     }
 
-    /// A hash of everything that identifies a request; `None` for a streamed statement, which is not in memory.
+    /// Hashes the parts of a request that a repeated request must agree in. Returns `None` for a streamed statement,
+    /// which is not in memory.
     fn fingerprint(
         &self,
         arriving: &ArrivingQuery,
--- a/crates/gateway/src/scheduling/scheduler/answer_cache.rs
+++ b/crates/gateway/src/scheduling/scheduler/answer_cache.rs
@@ -9,7 +9,8 @@
 /// Estimated memory of an entry besides its rows, in bytes.
 const ENTRY_BYTES: usize = 256;
 
-/// A hash of everything that identifies a request, except for the time that the client allows.
+/// A hash of the tenant, the keys, the class and the statement of a request. A repeated request must agree in these,
+/// but may differ in its deadline and its estimates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Fingerprint(pub(super) u64);
 
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -112,7 +112,7 @@
 /// The result of a client's request to cancel the query of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// The query was open; no further attempt of it begins.
+    /// The query was open, perhaps already with an answer; no further attempt of it begins.
     Cancelled,
     /// No query of this key is open.
     NotOpen,
--- a/crates/gateway/src/scheduling/scheduler/open_query.rs
+++ b/crates/gateway/src/scheduling/scheduler/open_query.rs
@@ -46,8 +46,8 @@
 impl OpenQuery {
     /// Sends a command to the query's task.
     pub(super) fn send_command(&self, command: Command) {
-        // Sending fails only if the task has ended. That happens after the answer and the last attempt, or by a panic,
-        // which leaves the query open without an answer until its client disconnects.
+        // Sending fails only if the task has ended: after the answer and the last attempt, or by a panic. After a panic
+        // the query gets no answer until its client has left or cancels it, and it is never released.
         let _ = self.commands.send(command);
     }
 
--- a/crates/gateway/src/scheduling/scheduler/query_end.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_end.rs
@@ -21,8 +21,8 @@
         }
     }
 
-    /// Releases a query that is finished and whose attempts have all ended. Its key stays known for the retention time,
-    /// and its answer is cached.
+    /// Releases a query that is finished and whose attempts have all ended. Its key stays known for the retention time.
+    /// Its answer goes to the answer cache, unless the statement was streamed.
     pub fn release(&self, id: QueryId) {
         let mut state = self.state();
         if let Some(query) = state.open_queries.remove(&id) {
@@ -39,7 +39,8 @@
         self.open_count.send_replace(state.open_queries.len());
     }
 
-    /// Cancels the open query of a key at the request of its client.
+    /// Cancels the open query of a key at the request of its client. The query is answered as failed, unless it already
+    /// has an answer.
     pub fn cancel(&self, query_key: u64) -> CancelOutcome {
         self.handle_event(|state, now| match state.query_index.state(query_key) {
             Some(QueryKeyState::Open(id)) => {
--- a/crates/gateway/src/scheduling/scheduler/state.rs
+++ b/crates/gateway/src/scheduling/scheduler/state.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Gives a query's share of the plan's limits back.
+    /// Gives a query's share of the plan's limits back; does nothing if the gateway has no plan.
     pub(super) fn release_plan_admission(&mut self, now: f64, admission: Option<PlanAdmission>) {
         if let Some((plan_router, admission)) = self.plan_router.as_mut().zip(admission) {
             plan_router.release(now, admission);
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Ends a query whose client has left. No further attempt begins, and any other client that still waits for the
-    /// query is answered that it failed.
+    /// Ends a query whose client has left or has cancelled it. No further attempt begins, and every client that still
+    /// waits for the query is answered that it failed.
     pub(super) fn client_left(&mut self, now: f64, id: QueryId) {
         let query = self.open_queries.get(&id);
         let Some(query) = query.filter(|query| !query.is_finished()) else {
--- a/crates/gateway/src/scheduling/scheduler/updates.rs
+++ b/crates/gateway/src/scheduling/scheduler/updates.rs
@@ -21,7 +21,8 @@
         });
     }
 
-    /// Records which of the classes that the controller started with are non-idempotent.
+    /// Records which query classes are non-idempotent. Only for the classes that the controller was created with;
+    /// [`update_plan`](Scheduler::update_plan) changes both.
     pub fn set_classes(&self, classes: &[QueryClass]) {
         self.handle_event(|state, _| state.set_classes(classes));
     }
--- a/crates/gateway/src/scheduling/scheduler/waiter.rs
+++ b/crates/gateway/src/scheduling/scheduler/waiter.rs
@@ -12,8 +12,8 @@
 /// Protocol: a client whose connection is lost repeats its request on a new connection within this time.
 const RECONNECT_WINDOW: Duration = Duration::from_millis(50);
 
-/// A client that waits for the answer of a query. If it is dropped before the answer and no other waiter joins the
-/// query within the reconnect window, the client counts as having left.
+/// A client that waits for the answer of a query. If a query's last waiter is dropped before the answer and no other
+/// waiter joins the query within the reconnect window, the client counts as having left.
 pub struct Waiter {
     pub(super) scheduler: Arc<Scheduler>,
     pub(super) query_id: QueryId,
@@ -50,8 +50,9 @@
 }
 
 impl Scheduler {
-    /// Records that a waiter's connection is lost. Its client may return within the reconnect window. If no client
-    /// waits any more, no further attempt begins, and the generation of the last waiter is returned.
+    /// Records that a waiter was dropped. If the query is unanswered and no client waits for it any more, no attempt
+    /// begins unless a client joins within the reconnect window; the waiter generation is returned for
+    /// [`client_left`](Scheduler::client_left). Otherwise returns `None`.
     fn client_disconnected(&self, id: QueryId) -> Option<WaiterGeneration> {
         self.handle_event(|state, now| {
             let query = state.open_queries.get_mut(&id)?;
