--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -132,7 +132,7 @@
 }
 
 fn insert_query_headers(headers: &mut HeaderMap, query: &ForwardedQuery) {
-    headers.insert(request_header::QUERY_ID, query.query_key.clone());
+    headers.insert(request_header::QUERY_KEY, query.query_key.clone());
     headers.insert(request_header::QUERY_CLASS, query.class.clone());
     if let Some(key) = &query.idempotency_key {
         headers.insert(request_header::IDEMPOTENCY_KEY, key.clone());
--- a/crates/gateway/src/engines/protocol.rs
+++ b/crates/gateway/src/engines/protocol.rs
@@ -23,7 +23,7 @@
     use http::HeaderName;
 
     /// The query key, as the client sent it.
-    pub const QUERY_ID: HeaderName = HeaderName::from_static("x-trace");
+    pub const QUERY_KEY: HeaderName = HeaderName::from_static("x-trace");
     /// The name of the query's class.
     pub const QUERY_CLASS: HeaderName = HeaderName::from_static("x-profile");
     /// Milliseconds that remain until the response deadline.
