--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -124,7 +124,7 @@
         cancellation: watch::Receiver<CancellationState>,
         events: AttemptEvents,
     ) -> AttemptResult {
-        let id = self.ledger().open(self.now(), self.assumed_run_time(query));
+        let id = self.ledger().open(self.now(), self.progress_expiry(query));
         let send_gate = self.send_gate(target, &start, cancellation.clone());
         let mut session = EngineSession::for_attempt(self, target, id, send_gate, &start);
         let result = session.run(query, &start, cancellation, events).await;
@@ -135,7 +135,7 @@
     /// The time after its last poll for which progress events alone are assumed to keep an attempt running. The
     /// protocol sets no limit on that. The longest deadline is used for a query that must not overlap the next one of
     /// its ordering key. For any other query the time is zero, so that only the poll expiry counts.
-    fn assumed_run_time(&self, query: &ForwardedQuery) -> Duration {
+    fn progress_expiry(&self, query: &ForwardedQuery) -> Duration {
         if query.in_order {
             self.longest_deadline
         } else {
