--- a/crates/gateway/src/engines/attempt/cancel.rs
+++ b/crates/gateway/src/engines/attempt/cancel.rs
@@ -26,7 +26,7 @@
                         engine,
                         path = attempt_path(query),
                         ?proof,
-                        "attempt cancelled and proved not to run"
+                        "attempt proved not to run; no further cancellation is sent"
                     );
                     return proof;
                 }
