--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -88,8 +88,9 @@
         }
     }
 
-    /// The longest time for which an attempt can run after its last poll was sent. At start-up this bounds the time for
-    /// which the attempts of an earlier process may still run.
+    /// The longest time for which an attempt can run after its last poll was sent, unless progress events keep it
+    /// running. At start-up, ordering keys of queries that an earlier process may have left running are paused for this
+    /// time.
     pub fn longest_unpolled_run(&self) -> Duration {
         MAX_UNPOLLED_RUN
     }
--- a/crates/gateway/src/engines/attempt/cancellable_call.rs
+++ b/crates/gateway/src/engines/attempt/cancellable_call.rs
@@ -127,8 +127,8 @@
     if start_request == StopOutcome::Stopped {
         return GracePeriod::None;
     }
-    // The system may still hold unsent data of the request, which would reach the engine after the query's answer.
-    // Aborting the connection discards that data.
+    // The system may still hold a part of the request, which would reach the engine after the query's answer. Aborting
+    // the connection discards that part.
     if kind == CallKind::Start && cancellation == CancellationState::QueryFinished {
         return GracePeriod::None;
     }
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -18,7 +18,7 @@
     /// The deadline has not passed.
     Pending,
     /// The deadline has passed and the exchange is being cancelled. The future of the exchange is polled once more
-    /// before the outcome counts as unknown, because an attempt that has not started ends right then.
+    /// before the outcome counts as unknown, because that poll ends an attempt that has not started.
     Passed,
     /// The deadline has passed, and the scheduler has been told that the outcome is unknown.
     Reported,
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Cancels the attempt, which may still run at the engine, because nobody waits for its response any more.
+    /// Cancels the attempt, which may still run at the engine, because its response deadline has passed or a shutdown
+    /// makes its answer due.
     fn deadline_passed(&mut self) {
         self.deadline = ResponseDeadline::Passed;
         self.cancellation
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -1,9 +1,9 @@
 //! The scheduler drives the admission controller: it passes events to the controller, carries out the controller's
 //! decisions, wakes it when its timer is due, and keeps the open queries.
 //!
-//! The scheduler does not ask the controller about a request that opens no query: one that repeats an open or finished
-//! query, has the key of a different query, is denied by the plan, or may have been run by an earlier process. If the
-//! client of an open query leaves, the scheduler itself answers the query as failed.
+//! The scheduler itself decides about requests that open no query: a request that repeats an open or finished query,
+//! has the key of a different query, is denied by the plan, or may have been run by an earlier process. If the client
+//! of an open query leaves, the scheduler answers the query as failed.
 //!
 //! This file holds the lock, the timer and `handle_event`, through which every event reaches the controller. Giving a
 //! final answer and releasing a query change only the scheduler's own state; they take the lock without `handle_event`.
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -46,8 +46,8 @@
 }
 
 impl Scheduler {
-    /// Opens an arriving query if its key is unknown and the plan admits it, joins the open query of the same request,
-    /// or returns the reason why the query is not run.
+    /// Opens an arriving query if its key is unknown and the plan admits it. Otherwise joins the open query of the same
+    /// request, returns the cached answer, or tells why the query is not run.
     pub fn admit(
         self: &Arc<Self>,
         arriving: ArrivingQuery,
--- a/crates/gateway/src/scheduling/scheduler/updates.rs
+++ b/crates/gateway/src/scheduling/scheduler/updates.rs
@@ -21,8 +21,8 @@
         });
     }
 
-    /// Records which query classes are non-idempotent. Only for the classes that the controller was created with;
-    /// [`update_plan`](Scheduler::update_plan) changes both.
+    /// Records which query classes are non-idempotent. Called once at start-up, with the classes that the controller
+    /// was created with; [`update_plan`](Scheduler::update_plan) changes the classes later.
     pub fn set_classes(&self, classes: &[QueryClass]) {
         self.handle_event(|state, _| state.set_classes(classes));
     }
