--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -88,8 +88,9 @@
         }
     }
 
-    /// The longest time for which an attempt can run without being polled, counted from the moment at which an earlier
-    /// process may last have polled it.
+    /// The longest time for which an attempt can run after its last poll was sent, unless progress events keep it
+    /// running. At start-up, ordering keys of queries that an earlier process may have left running are paused for this
+    /// time.
     pub fn longest_unpolled_run(&self) -> Duration {
         MAX_UNPOLLED_RUN
     }
@@ -124,7 +125,7 @@
         cancellation: watch::Receiver<CancellationState>,
         events: AttemptEvents,
     ) -> AttemptResult {
-        let id = self.ledger().open(self.now(), self.assumed_run_time(query));
+        let id = self.ledger().open(self.now(), self.progress_expiry(query));
         let send_gate = self.send_gate(target, &start, cancellation.clone());
         let mut session = EngineSession::for_attempt(self, target, id, send_gate, &start);
         let result = session.run(query, &start, cancellation, events).await;
@@ -132,10 +133,10 @@
         result
     }
 
-    /// The time for which an attempt is assumed to run while only progress events keep it running. The protocol sets no
-    /// limit on that. A query that must not overlap the next one of its ordering key therefore uses the longest
-    /// deadline.
-    fn assumed_run_time(&self, query: &ForwardedQuery) -> Duration {
+    /// The time after its last poll for which progress events alone are assumed to keep an attempt running. The
+    /// protocol sets no limit on that. The longest deadline is used for a query that must not overlap the next one of
+    /// its ordering key. For any other query the time is zero, so that only the poll expiry counts.
+    fn progress_expiry(&self, query: &ForwardedQuery) -> Duration {
         if query.in_order {
             self.longest_deadline
         } else {
--- a/crates/gateway/src/engines/protocol.rs
+++ b/crates/gateway/src/engines/protocol.rs
@@ -8,7 +8,7 @@
 /// An engine ends an attempt that has not been polled for this time.
 pub(super) const POLL_EXPIRY: Duration = Duration::from_secs(2);
 
-/// Tolerance added to each time limit of the protocol that is enforced on a socket.
+/// Tolerance added to the long-poll limit when a response is awaited on a socket.
 pub(super) const SOCKET_TIMEOUT_SLACK: Duration = Duration::from_millis(50);
 
 /// Pause between two cancellations of the same attempt.
@@ -23,7 +23,7 @@
     use http::HeaderName;
 
     /// The query key, as the client sent it.
-    pub const QUERY_ID: HeaderName = HeaderName::from_static("x-trace");
+    pub const QUERY_KEY: HeaderName = HeaderName::from_static("x-trace");
     /// The name of the query's class.
     pub const QUERY_CLASS: HeaderName = HeaderName::from_static("x-profile");
     /// Milliseconds that remain until the response deadline.
