--- a/crates/bodies/src/writer.rs
+++ b/crates/bodies/src/writer.rs
@@ -11,7 +11,7 @@
 
 /// Minimum size of a piece outside the spool file, in bytes, except for the last piece of a body. Smaller chunks are
 /// joined, so that a client that sends single bytes does not cause the overhead of one piece per byte.
-const MIN_CHUNK_BYTES: usize = 16 << 10;
+const MIN_PIECE_BYTES: usize = 16 << 10;
 
 /// Reason why a body accepts no more bytes.
 #[derive(Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
         let storage = received.map_err(PushError::Rejected)?;
         let min_bytes = match storage {
             Storage::File => PIECE_BYTES as usize,
-            Storage::Memory | Storage::NotStored => MIN_CHUNK_BYTES,
+            Storage::Memory | Storage::NotStored => MIN_PIECE_BYTES,
         };
         let Some(mut remaining) = self.join_pending(bytes, min_bytes) else {
             return Ok(());
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -124,7 +124,7 @@
     /// Publishes all facts again if this gateway has become a new incarnation, since peers ignore the facts of an
     /// earlier incarnation.
     fn republish_facts(&mut self) {
-        if self.output.take_was_renewed() {
+        if self.output.take_rejoined() {
             for (kind, value) in self.own_facts.clone() {
                 self.publish(kind, value);
             }
--- a/crates/fleet/src/membership/runtime.rs
+++ b/crates/fleet/src/membership/runtime.rs
@@ -27,7 +27,7 @@
     timers: BTreeMap<TimerKey, Timer<Peer>>,
     outgoing: Vec<OutgoingMessage>,
     events: Vec<MembershipEvent>,
-    was_renewed: bool,
+    rejoined: bool,
 }
 
 impl ProtocolOutput {
@@ -39,7 +39,7 @@
             timers: BTreeMap::new(),
             outgoing: Vec::new(),
             events: Vec::new(),
-            was_renewed: false,
+            rejoined: false,
         }
     }
 
@@ -70,8 +70,8 @@
     }
 
     /// Returns true if this gateway has become a new incarnation since the last call.
-    pub(super) fn take_was_renewed(&mut self) -> bool {
-        std::mem::take(&mut self.was_renewed)
+    pub(super) fn take_rejoined(&mut self) -> bool {
+        std::mem::take(&mut self.rejoined)
     }
 }
 
@@ -82,7 +82,7 @@
             Notification::MemberDown(peer) => self.events.push(MembershipEvent::Down(*peer)),
             Notification::Rejoin(_) => {
                 self.events.push(MembershipEvent::Rejoined);
-                self.was_renewed = true;
+                self.rejoined = true;
             }
             Notification::Idle => self.events.push(MembershipEvent::Alone),
             Notification::Rename(..) | Notification::Active | Notification::Defunct => {}
--- a/crates/scale/src/fleet/gateway/endpoints.rs
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// Maximum number of times that the subset is polled at one moment; a completed connection can cause further actions.
-const MAX_MEMBERSHIP_ROUNDS: usize = 64;
+const MAX_MEMBERSHIP_POLLS: usize = 64;
 
 impl Gateway {
     /// Reads the change log up to the entry `sequence`, and puts the changes in force.
@@ -73,7 +73,7 @@
         let Some(process) = &mut self.process else {
             return;
         };
-        for _ in 0..MAX_MEMBERSHIP_ROUNDS {
+        for _ in 0..MAX_MEMBERSHIP_POLLS {
             let actions = process
                 .membership
                 .poll(now.seconds(), &process.list.catalog);
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -146,12 +146,12 @@
     // ---- engines ----
 
     fn engine_due(&mut self, now: SimTime, engine: usize) {
-        let hollow = &mut self.environment.engines[engine];
-        if hollow.due != Some(now) {
+        let due_engine = &mut self.environment.engines[engine];
+        if due_engine.due != Some(now) {
             return;
         }
-        hollow.due = None;
-        let finished = hollow.finished(&self.experiment.cold, now);
+        due_engine.due = None;
+        let finished = due_engine.finished(&self.experiment.cold, now);
         for key in finished {
             if let Some(gateway) = running_gateway(&mut self.gateways, key.process()) {
                 gateway.attempt_ended(now, key, AttemptEnd::Succeeded, &mut self.environment);
--- a/crates/scale/src/real_processes/clients.rs
+++ b/crates/scale/src/real_processes/clients.rs
@@ -20,7 +20,7 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 /// Idle connections that are pooled per gateway; further ones are closed at once.
-const IDLE_CONNECTIONS: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 /// A pooled connection idle for longer is closed.
 const MAX_IDLE: Duration = Duration::from_secs(4);
 /// A query that fails within this time on a pooled connection may have met the gateway closing that connection. By the
@@ -148,7 +148,7 @@
         let mut random = SmallRng::seed_from_u64(self.experiment.seed ^ (key + 1) << 20);
         let gateway = key as usize % self.gateways.count();
         while Instant::now() < until {
-            let pace = random.random_range(KEY_INTERVAL_MS[0]..=KEY_INTERVAL_MS[1]);
+            let interval = random.random_range(KEY_INTERVAL_MS[0]..=KEY_INTERVAL_MS[1]);
             let work = random.random_range(KEYED_WORK_MS[0]..=KEYED_WORK_MS[1]);
             if self.gateways.in_service(gateway) {
                 let planned = PlannedQuery {
@@ -159,7 +159,7 @@
                 };
                 self.clone().spawn(planned);
             }
-            sleep(Duration::from_millis(pace)).await;
+            sleep(Duration::from_millis(interval)).await;
         }
     }
 
@@ -229,9 +229,9 @@
         if let Some(mut connection) = idle {
             let started_at = self.recorder.now();
             let answer = http_client::call(&mut connection, request.clone(), within).await;
-            let crossed = matches!(answer, Err(CallError::CutShort(_)))
+            let lost_to_close = matches!(answer, Err(CallError::CutShort(_)))
                 && self.recorder.now() - started_at < CLOSE_RACE_WINDOW.as_secs_f64();
-            if !crossed {
+            if !lost_to_close {
                 return (started_at, self.ended(id, planned, connection, answer));
             }
         }
@@ -299,7 +299,7 @@
     fn pool_connection(&self, gateway: usize, connection: Connection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let idle = idle.entry(gateway).or_default();
-        if idle.len() < IDLE_CONNECTIONS && self.gateways.in_service(gateway) {
+        if idle.len() < MAX_IDLE_CONNECTIONS && self.gateways.in_service(gateway) {
             idle.push((connection, Instant::now()));
         }
     }
