--- a/crates/bench-adapter/tests/frames.rs
+++ b/crates/bench-adapter/tests/frames.rs
@@ -1,8 +1,8 @@
-//! Compares a complete exchange with the simulator byte by byte, with every record code in both directions, and checks
-//! the exit codes.
+//! Sends frames to the adapter as the simulator does, and compares its replies byte by byte with recorded ones. The
+//! frames and replies contain every record code. Also checks the exit codes.
 //!
-//! The expected replies were recorded with the adapter built from commit 2d094ab, so that they also cover the
-//! controller's decisions: the test fails if a record code changes, a field moves or a random number is drawn out of
+//! The replies were recorded with the adapter built from commit 2d094ab. Since they contain the controller's decisions,
+//! the test fails not only if a record code changes or a field moves, but also if a random number is drawn out of
 //! order. The errors for malformed frames are tested in src/tests.rs.
 
 use std::io::Write;
--- a/crates/bodies/src/writer.rs
+++ b/crates/bodies/src/writer.rs
@@ -61,8 +61,9 @@
         Ok(())
     }
 
-    /// Ends the body, and wakes the reader. The body is complete, or truncated if it is shorter than its announced
-    /// length. A complete body is counted, and may cause evictions.
+    /// Ends the body, and wakes the reader. If the body is shorter than its announced length, it is marked as
+    /// truncated; otherwise it is marked as complete and counted, and bodies are evicted from memory to the spool file
+    /// if memory is short.
     pub async fn finish(&self) {
         let remaining = self.content().pending.split().freeze();
         if !remaining.is_empty() {
@@ -95,8 +96,8 @@
         self.length.is_some_and(|length| received > length)
     }
 
-    /// Appends `bytes` to the pending ones. Returns all of them if there are at least `min_bytes`; otherwise they stay
-    /// pending.
+    /// Appends `bytes` to the pending bytes. Removes and returns all pending bytes if there are at least `min_bytes`,
+    /// else returns `None`.
     fn join_pending(&self, bytes: Bytes, min_bytes: usize) -> Option<Bytes> {
         let mut content = self.content();
         if content.pending.is_empty() && bytes.len() >= min_bytes {
--- a/crates/fleet/src/lease_holder/jitter.rs
+++ b/crates/fleet/src/lease_holder/jitter.rs
@@ -13,6 +13,7 @@
     /// short.
     const FRACTION_BITS: u32 = 24;
 
+    /// Returns a generator. The lowest bit of the seed is ignored: seeds 2n and 2n + 1 give the same sequence.
     pub(super) fn new(seed: u64) -> Jitter {
         Jitter { state: seed | 1 }
     }
--- a/crates/fleet/src/lease_holder/pending_releases.rs
+++ b/crates/fleet/src/lease_holder/pending_releases.rs
@@ -31,8 +31,8 @@
             .map(|(claim, _)| *claim)
     }
 
-    /// Drops the releases that every issuer has acknowledged, apart from issuers for which `has_expired` returns true,
-    /// since those have ended the lease by themselves.
+    /// Drops the releases that no issuer still has to acknowledge. An issuer for which `has_expired` returns true need
+    /// not acknowledge, since it has ended the lease by itself. Issuers are numbered from 0 to `issuer_count` - 1.
     pub(super) fn drop_settled(
         &mut self,
         issuer_count: usize,
--- a/crates/fleet/src/lease_holder/request_packing.rs
+++ b/crates/fleet/src/lease_holder/request_packing.rs
@@ -13,9 +13,9 @@
     Claim(Claim),
 }
 
-/// Returns the requests of one round to one issuer: the releases come first, then the claims, up to the limit of the
-/// round. Each request renews all leases, so that there is at least one request, even without claims and releases;
-/// there are more only if these do not fit into one.
+/// Returns the requests to one issuer in one round, as few as hold the releases and claims, but at least one: a request
+/// without releases and claims still renews all leases. The releases come before the claims; those beyond the limit of
+/// [`MAX_REQUESTS_PER_ISSUER`] requests are left out.
 pub(super) fn pack_requests(
     holder: HolderId,
     number: u32,
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,10 +1,10 @@
 //! Group membership of the gateways: tracks the peers that are alive, suspected or down, and those that have left on
 //! purpose.
 //!
-//! The protocol is SWIM with suspicion, implemented by the foca crate, which does no I/O either. Peers also publish
-//! facts about themselves; these are merged so that reordering, duplication and loss of messages do not matter. After a
-//! pause of the process the gateway's view may be out of date, so that [`Membership::is_current`] returns false until a
-//! peer has sent a message.
+//! The protocol is SWIM with suspicion, implemented by the foca crate. Neither this module nor foca does I/O. Peers
+//! also publish facts about themselves; these are merged so that reordering, duplication and loss of messages do not
+//! matter. After a pause of the process the gateway's view may be out of date, so [`Membership::is_current`] returns
+//! false until a message from a peer is received.
 
 mod codec;
 mod config;
@@ -29,8 +29,8 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A gap between two calls that is longer than this is taken for a pause of the process. It is the suspicion timeout,
-/// since peers may have declared this gateway down after that time.
+/// Time between two calls above which the process counts as having been paused. Equal to the suspicion timeout, since
+/// peers may declare this gateway down after that time.
 const PAUSE_THRESHOLD: Duration = SUSPICION_TIMEOUT;
 
 /// The membership as one gateway sees it. The caller passes in received messages and the time, and sends the datagrams
@@ -145,13 +145,15 @@
     }
 
     /// Returns true if the view of the membership may be used at `now`. Returns false after a pause of the process,
-    /// until a peer's message is received. A gateway that knows no other peer does not wait for a message.
+    /// until a peer's message is received. A gateway that knows no other peer does not wait for a message: its view
+    /// becomes current with the next call of [`Membership::tick`].
     pub fn is_current(&self, now: Duration) -> bool {
         !self.is_stale && now.saturating_sub(self.last_call) <= PAUSE_THRESHOLD
     }
 
-    /// Publishes a fact about this gateway to all peers, in place of its earlier one of the same kind. `kind` is from 1
-    /// to [`FACT_KINDS`] - 1; kind 0 is used by [`Membership::leave`]. A fact of any other kind is not published.
+    /// Publishes a fact about this gateway to all peers; it replaces the gateway's earlier fact of the same kind.
+    /// `kind` is from 1 to [`FACT_KINDS`] - 1; kind 0 is used by [`Membership::leave`]. A fact of any other kind is not
+    /// published.
     pub fn publish(&mut self, kind: u8, value: u64) {
         self.last_fact_version += 1;
         self.own_facts.insert(kind, value);
@@ -222,6 +224,7 @@
 
     /// Returns the other peers that are not declared down, with their states.
     pub fn peers(&self) -> Vec<PeerStatus> {
+        // foca lists only members that are not down, so that `State::Down` does not occur.
         let state = |state| match state {
             State::Suspect => PeerState::Suspected,
             State::Alive | State::Down => PeerState::Alive,
--- a/crates/fleet/src/membership/runtime.rs
+++ b/crates/fleet/src/membership/runtime.rs
@@ -69,7 +69,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Returns true if this gateway has become a new incarnation since the last call.
+    /// Returns true if this gateway has rejoined the group as a new incarnation since the last call.
     pub(super) fn take_rejoined(&mut self) -> bool {
         std::mem::take(&mut self.rejoined)
     }
--- a/crates/scale/src/fleet/gateway/endpoints.rs
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -11,11 +11,13 @@
 use garnetwall_subset::{Action, Change, EngineKey};
 use std::rc::Rc;
 
-/// Maximum number of times that the subset is polled at one moment; a completed connection can cause further actions.
+/// Maximum number of polls of the subset per call of [`Gateway::apply_membership`]. The subset is polled repeatedly,
+/// since the outcome of a connection can cause further actions.
 const MAX_MEMBERSHIP_POLLS: usize = 64;
 
 impl Gateway {
-    /// Reads the change log up to the entry `sequence`, and puts the changes in force.
+    /// Reads the change log entries after the last one read, up to number `sequence`, and applies them to the subset
+    /// and the decision module. Does nothing if the entry has already been read.
     pub fn deliver(&mut self, now: SimTime, sequence: usize, environment: &mut Environment) {
         if self.has_fault(InjectedFault::Deaf, environment) {
             return;
@@ -68,7 +70,8 @@
         self.apply_membership(now, environment);
     }
 
-    /// Polls the subset and carries out its actions until none are due.
+    /// Polls the subset and carries out its actions, until a poll returns no action or the maximum number of polls is
+    /// reached.
     pub(super) fn apply_membership(&mut self, now: SimTime, environment: &mut Environment) {
         let Some(process) = &mut self.process else {
             return;
@@ -127,8 +130,8 @@
         Some(endpoint)
     }
 
-    /// Carries out one action of the subset. Returns the endpoint that the decision module has to be updated with, if
-    /// any.
+    /// Carries out one action of the subset. Returns the endpoint to pass to the decision module, or `None` if there
+    /// is nothing to pass on.
     fn apply(
         &mut self,
         now: SimTime,
@@ -193,7 +196,7 @@
         self.endpoint_of(key)
     }
 
-    /// Removes a member, or marks it as draining while attempts at it are in flight.
+    /// Removes a member if no attempts at it are in flight; otherwise marks it as draining.
     fn leave(
         &mut self,
         key: EngineKey,
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -14,7 +14,7 @@
 use rand::{Rng, SeedableRng};
 use std::rc::Rc;
 
-/// The first starts of the gateways are spread over this time.
+/// Time over which the first starts of the gateways are randomly spread.
 const INITIAL_START_SPREAD_SECONDS: f64 = 0.5;
 /// Time from the start of an engine's drain to its replacement.
 const DRAIN_DEADLINE_SECONDS: f64 = 3.0;
@@ -145,6 +145,8 @@
 
     // ---- engines ----
 
+    /// Ends the attempts that an engine has finished, and schedules the engine again. Ignores the event if `now` is not
+    /// the engine's current due time, since the engine has been rescheduled.
     fn engine_due(&mut self, now: SimTime, engine: usize) {
         let due_engine = &mut self.environment.engines[engine];
         if due_engine.due != Some(now) {
@@ -225,8 +227,8 @@
         }
     }
 
-    /// Connects the gateways of a region to the log again. Each reads up to the latest entry after a random wait of at
-    /// most the experiment's `resume` time plus a delivery delay.
+    /// Connects the gateways of a region to the log again. Each receives the entries that it missed after a delivery
+    /// delay and a random wait between 0 and the experiment's `resume` time.
     fn region_reconnected(&mut self, now: SimTime, region: usize) {
         let resume = self.experiment.log.resume;
         let sequence = self.environment.log.latest() as u32;
--- a/crates/scale/src/real_processes/clients.rs
+++ b/crates/scale/src/real_processes/clients.rs
@@ -19,12 +19,13 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Idle connections that are pooled per gateway; further ones are closed at once.
+/// Maximum number of idle connections in the pool per gateway; further ones are closed at once.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// A pooled connection idle for longer is closed.
+/// Time after which an idle connection is not reused. It is closed when a connection to the same gateway is next taken
+/// from the pool.
 const MAX_IDLE: Duration = Duration::from_secs(4);
-/// A query that fails within this time on a pooled connection may have met the gateway closing that connection. By the
-/// protocol, the client sends the query again.
+/// If a query on a pooled connection fails without a complete answer within this time, the gateway may have closed the
+/// connection before the query arrived. The protocol requires the client to send the query again.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 /// Time that a client waits beyond a query's limit, to distinguish a late answer from a lost one.
 const LATE_ANSWER_ALLOWANCE: Duration = Duration::from_millis(2_000);
@@ -40,11 +41,11 @@
 const KEYED_WORK_MS: [u64; 2] = [100, 600];
 /// An injected fault affects one in this many queries.
 const FAULTY_QUERY_INTERVAL: u64 = 20;
-/// Injected fault: milliseconds by which the client's own limit is shorter than the limit that it sends. The work
-/// [`FAULTY_WORK_MS`] exceeds the client's own limit.
+/// Injected fault `LateAnswer`: the recorded limit of a query is shorter than the limit sent to the gateway by this
+/// time, in milliseconds. The work of the query, [`FAULTY_WORK_MS`], takes longer than the recorded limit.
 const FAULTY_LATENESS_MS: u64 = 2_900;
 const FAULTY_WORK_MS: u64 = 600;
-/// Injected fault: time between an answer and the forged attempt that follows it.
+/// Injected fault `AttemptAfterAnswer`: time from an answer to the forged attempt that follows it.
 const FAULTY_ATTEMPT_DELAY: Duration = Duration::from_millis(400);
 
 /// All clients of a run.
@@ -111,6 +112,8 @@
         self.experiment.injected_fault == Some(injected_fault)
     }
 
+    /// Sends the queries without a key, at exponentially distributed intervals. Each goes to a random gateway or, if
+    /// that is not in service, to the next one that is.
     async fn send_unkeyed(self: Arc<Self>, until: Instant) {
         let mut random = SmallRng::seed_from_u64(self.experiment.seed);
         let Ok(gaps) = Exp::new(self.experiment.queries_per_second) else {
@@ -118,7 +121,7 @@
         };
         let mut next = Instant::now();
         loop {
-            // A rate of 0 gives infinite gaps.
+            // A rate of 0 gives infinite gaps, which a `Duration` cannot represent.
             let gap: f64 = gaps.sample(&mut random);
             next += Duration::from_secs_f64(gap.min(self.experiment.seconds));
             if next >= until {
@@ -212,8 +215,9 @@
         }
     }
 
-    /// Sends a query, again on a new connection if it met the close of a pooled one. Returns the start of the last
-    /// send, and the outcome.
+    /// Sends a query, on a pooled connection if there is one and the query has no key. If the gateway may have closed
+    /// that connection before the query arrived, sends the query again on a new one. Returns the start time of the last
+    /// send, in seconds, and the outcome.
     async fn send(
         &self,
         id: u64,
@@ -244,6 +248,7 @@
         (started_at, self.ended(id, planned, connection, answer))
     }
 
+    /// Returns the outcome of a query. Returns the connection to the pool if the query succeeded and has no key.
     fn ended(
         &self,
         id: u64,
@@ -272,7 +277,7 @@
         }
     }
 
-    /// Injected fault: sends an engine an attempt that no gateway sent.
+    /// Injected fault: sends an attempt directly to an engine, as if a gateway had sent it.
     async fn send_forged_attempt(&self, id: u64, gateway: usize) {
         let address = SocketAddr::from((
             IpAddr::from(endpoint_list::address(0)),
