--- a/crates/scale/src/fleet/gateway/endpoints.rs
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -206,7 +206,7 @@
         if environment.injects(InjectedFault::SendToDraining) {
             tracing::debug!(
                 engine = key.0,
-                "an injected fault keeps an engine that left the subset"
+                "injected fault: engine that left the subset is not removed"
             );
             return None;
         }
