--- a/crates/bodies/src/writer.rs
+++ b/crates/bodies/src/writer.rs
@@ -11,7 +11,7 @@
 
 /// Minimum size of a piece outside the spool file, in bytes, except for the last piece of a body. Smaller chunks are
 /// joined, so that a client that sends single bytes does not cause the overhead of one piece per byte.
-const MIN_CHUNK_BYTES: usize = 16 << 10;
+const MIN_PIECE_BYTES: usize = 16 << 10;
 
 /// Reason why a body accepts no more bytes.
 #[derive(Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
         let storage = received.map_err(PushError::Rejected)?;
         let min_bytes = match storage {
             Storage::File => PIECE_BYTES as usize,
-            Storage::Memory | Storage::NotStored => MIN_CHUNK_BYTES,
+            Storage::Memory | Storage::NotStored => MIN_PIECE_BYTES,
         };
         let Some(mut remaining) = self.join_pending(bytes, min_bytes) else {
             return Ok(());
@@ -61,8 +61,9 @@
         Ok(())
     }
 
-    /// Ends the body, and wakes the reader. The body is complete, or truncated if it is shorter than its announced
-    /// length. A complete body is counted, and may cause evictions.
+    /// Ends the body, and wakes the reader. If the body is shorter than its announced length, it is marked as
+    /// truncated; otherwise it is marked as complete and counted, and bodies are evicted from memory to the spool file
+    /// if memory is short.
     pub async fn finish(&self) {
         let remaining = self.content().pending.split().freeze();
         if !remaining.is_empty() {
@@ -95,8 +96,8 @@
         self.length.is_some_and(|length| received > length)
     }
 
-    /// Appends `bytes` to the pending ones. Returns all of them if there are at least `min_bytes`; otherwise they stay
-    /// pending.
+    /// Appends `bytes` to the pending bytes. Removes and returns all pending bytes if there are at least `min_bytes`,
+    /// else returns `None`.
     fn join_pending(&self, bytes: Bytes, min_bytes: usize) -> Option<Bytes> {
         let mut content = self.content();
         if content.pending.is_empty() && bytes.len() >= min_bytes {
